--- a/internal/route/sparcookie/engine.go
+++ b/internal/route/sparcookie/engine.go
@@ -1,8 +1,8 @@
-// Package sparcookie decides where packets go on a fabric that echoes a cookie.
+// Package sparcookie routes packets on a fabric that echoes a cookie.
 //
-// Both ends of a flow repeat the last cookie that they received, so a VM that never
-// saw a flow reads its upstream off the packet. VMs agree on flows by agreeing on
-// one table, cookie to upstream, which follows from the roster alone:
+// Both ends of a flow echo the last cookie that they received. The cookie identifies
+// the upstream, so a VM can forward packets of a flow that it has never seen. VMs need
+// not share flow state: each one derives the same table of cookies from the roster:
 //
 //	e := sparcookie.New("vm-1", "north", 10_000)
 //	e.Advance(now)
@@ -11,11 +11,11 @@
 //	case sparcookie.ToUpstream:
 //		// send to v.At, addressed to v.ID, with v.Cookie
 //	case sparcookie.Reset:
-//		// tell the caller to come again
+//		// reset the connection; the client opens a new one
 //	}
 //
-// An Engine does no I/O and reads no clock. What it records of a flow is evidence
-// about its upstream and load; losing the record breaks nothing.
+// An Engine does no I/O and reads no clock. Its flow records serve only to estimate
+// the health and load of upstreams. A lost record breaks no flow.
 package sparcookie
 
 import (
@@ -27,215 +27,216 @@
 )
 
 const (
-	// FlowLife is how long a flow may live on a fabric of this kind.
-	FlowLife = 60 * time.Second
+	// MaxFlowAge is the longest lifetime of a flow on a fabric of this kind.
+	MaxFlowAge = 60 * time.Second
 
-	// rememberGone is how long an upstream is known after it left the roster: the
-	// longest life of a flow and time for its last packets.
-	rememberGone = FlowLife + 30*time.Second
+	// retainRemoved is how long an upstream stays known after its removal from the
+	// roster: the lifetime of a flow and some time for its last packets.
+	retainRemoved = MaxFlowAge + 30*time.Second
 
-	sweepEvery = time.Second
+	sweepInterval = time.Second
 )
 
 type (
-	// Engine is the routing state of one VM. Use New.
+	// Engine is the routing state of one VM. Create it with New.
 	Engine struct {
 		name      string
 		domain    string
 		now       time.Duration
 		fresh     bool
 		roster    sparroster.Roster
-		paths     map[sparflow.Endpoint]*path
+		routes    map[sparflow.Endpoint]*routeRecord
 		upstreams map[uint64]*upstream
 		cookies   map[Cookie]*upstream
-		services  map[string]*members // in the roster
-		siblings  int                 // VMs of this failure domain, this one included
-		helpers   []helper            // other VMs
+		pools     map[string]*pool // upstreams in the roster, by service
+		domainVMs int              // VMs of this failure domain, this one included
+		relays    []relay          // other VMs
 		flows     map[flowKey]*flow
 		maxFlows  int
-		swept     time.Duration
+		lastSweep time.Duration
 		events    []Event
 		stats     Stats
 	}
 
-	// path is an address with its route, and what the route was earlier.
-	path struct {
+	// routeRecord is the route of an address, with the services that it named earlier.
+	routeRecord struct {
 		route    sparroster.Route
-		live     bool            // the roster has the route
-		since    time.Duration   // first seen here
-		services map[string]bool // every service that the route ever listed here
+		live     bool            // in the roster
+		since    time.Duration   // when this VM first saw the route
+		services map[string]bool // all services that this VM has seen in the route
 	}
 
-	// members is the upstreams of a service, by id.
-	members struct {
-		local []*upstream // of the failure domain of this VM
+	// pool is the upstreams of a service, by ID.
+	pool struct {
+		local []*upstream // in the failure domain of this VM
 		all   []*upstream
 	}
 
-	// upstream is a server with what this VM has seen of it.
+	// upstream is a server with the observations of this VM.
 	upstream struct {
 		sparroster.Upstream
-		cookie  Cookie
-		gone    bool // not in the roster any more
-		left    time.Duration
-		warmed  time.Duration // end of its warm-up
-		flows   int           // open ones that pass this VM
-		recent  rate          // requests of late, over recentSpan
-		pace    rate          // the same over paceSpan
-		lost    rate          // requests that callers gave up unanswered, over lostSpan
-		heard   time.Duration // last sign that a packet of it reached a caller
-		pending time.Duration // first opening sent since then, 0 where all were answered
-		strikes int           // flows that have repeated a packet in vain since then
-		health  sparhealth.Health
-		placed  time.Duration // last opening sent to it
+		cookie          Cookie
+		removed         bool // no longer in the roster
+		removedAt       time.Duration
+		warmUntil       time.Duration // end of the warm-up
+		flows           int           // open flows on record
+		recent          decayingCount // requests over recentSpan
+		rate            decayingCount // requests over rateSpan
+		abandoned       decayingCount // requests that clients gave up unanswered, over abandonedSpan
+		lastResponse    time.Duration // last sign that a client received a packet from it
+		pendingSince    time.Duration // first SYN sent since lastResponse, 0 if there is none
+		unansweredFlows int           // flows with an unanswered retransmission since lastResponse
+		health          sparhealth.Health
+		lastSYN         time.Duration
 	}
 )
 
-// New returns an engine for the VM called name in a failure domain, with records of at
-// most maxFlows flows.
+// New returns an engine for the VM called name in the failure domain. It keeps records
+// of at most maxFlows flows.
 func New(name, domain string, maxFlows int) *Engine {
 	return &Engine{
 		name: name, domain: domain, maxFlows: maxFlows,
-		paths: map[sparflow.Endpoint]*path{}, upstreams: map[uint64]*upstream{},
-		cookies: map[Cookie]*upstream{}, services: map[string]*members{}, flows: map[flowKey]*flow{},
+		routes: map[sparflow.Endpoint]*routeRecord{}, upstreams: map[uint64]*upstream{},
+		cookies: map[Cookie]*upstream{}, pools: map[string]*pool{}, flows: map[flowKey]*flow{},
 	}
 }
 
 // Advance sets the monotonic time for the calls that follow.
 func (e *Engine) Advance(now time.Duration) { e.now = now }
 
-// Fresh says whether the roster is recent enough to refuse by.
+// Fresh sets whether the roster is recent enough to refuse flows on its basis.
 func (e *Engine) Fresh(fresh bool) { e.fresh = fresh }
 
 // Roster returns the settings in force.
 func (e *Engine) Roster() sparroster.Roster { return e.roster }
 
-// Apply takes the settings in force.
+// Apply replaces the settings in force.
 func (e *Engine) Apply(r sparroster.Roster) {
 	e.roster = r
 	e.applyRoutes(r)
 	e.applyUpstreams(r)
-	e.assign()
-	e.applyHelpers(r.VMs)
+	e.assignCookies()
+	e.applyVMs(r.VMs)
 }
 
 func (e *Engine) applyRoutes(r sparroster.Roster) {
-	for _, p := range e.paths {
-		p.live = false
+	for _, rec := range e.routes {
+		rec.live = false
 	}
 	for _, at := range r.Addresses() {
 		route, _ := r.Route(at)
-		p := e.paths[at]
-		if p == nil {
-			p = &path{since: e.now, services: map[string]bool{}}
-			e.paths[at] = p
+		rec := e.routes[at]
+		if rec == nil {
+			rec = &routeRecord{since: e.now, services: map[string]bool{}}
+			e.routes[at] = rec
 		}
-		p.route, p.live = route, true
+		rec.route, rec.live = route, true
 		for _, t := range route.Targets {
-			p.services[t.Service] = true
+			rec.services[t.Service] = true
 		}
 	}
 }
 
 func (e *Engine) applyUpstreams(r sparroster.Roster) {
-	listed := map[uint64]bool{}
-	clear(e.services)
-	for _, one := range r.Upstreams {
-		listed[one.ID] = true
-		u := e.upstreams[one.ID]
-		if u == nil || u.Born != one.Born || u.Service != one.Service {
-			u = e.join(u, one)
+	inRoster := map[uint64]bool{}
+	clear(e.pools)
+	for _, entry := range r.Upstreams {
+		inRoster[entry.ID] = true
+		u := e.upstreams[entry.ID]
+		if u == nil || u.Born != entry.Born || u.Service != entry.Service {
+			u = e.addUpstream(u, entry)
 		}
-		if u.Draining != one.Draining || u.gone {
-			e.emit(UpstreamListed{Upstream: one})
+		if u.Draining != entry.Draining || u.removed {
+			e.emit(UpstreamListed{Upstream: entry})
 		}
-		u.Upstream, u.gone = one, false
-		u.warmed = max(u.warmed, e.now+one.Warm)
-		if one.Warm == 0 {
-			u.warmed = 0
+		u.Upstream, u.removed = entry, false
+		u.warmUntil = max(u.warmUntil, e.now+entry.Warm)
+		if entry.Warm == 0 {
+			u.warmUntil = 0
 		}
-		e.member(u)
+		e.addToPool(u)
 	}
 	for id, u := range e.upstreams {
-		if !listed[id] && !u.gone {
-			u.gone, u.left = true, e.now
+		if !inRoster[id] && !u.removed {
+			u.removed, u.removedAt = true, e.now
 			e.emit(UpstreamLeft{Upstream: u.Upstream})
 		}
 	}
 }
 
-// member adds an upstream to those of its service.
-func (e *Engine) member(u *upstream) {
-	m := e.services[u.Service]
-	if m == nil {
-		m = &members{}
-		e.services[u.Service] = m
+// addToPool adds u to the pool of its service.
+func (e *Engine) addToPool(u *upstream) {
+	p := e.pools[u.Service]
+	if p == nil {
+		p = &pool{}
+		e.pools[u.Service] = p
 	}
-	m.all = append(m.all, u)
+	p.all = append(p.all, u)
 	if u.Domain == e.domain {
-		m.local = append(m.local, u)
+		p.local = append(p.local, u)
 	}
 }
 
-// join starts the record of an upstream that is new or was started again. Flows of
-// its earlier life count no more.
-func (e *Engine) join(before *upstream, one sparroster.Upstream) *upstream {
-	u := &upstream{Upstream: one}
-	if before != nil {
-		u.cookie = before.cookie
+// addUpstream adds an upstream that is new or has restarted. The records of flows from
+// before a restart are deleted.
+func (e *Engine) addUpstream(prev *upstream, entry sparroster.Upstream) *upstream {
+	u := &upstream{Upstream: entry}
+	if prev != nil {
+		u.cookie = prev.cookie
 		for key, f := range e.flows {
-			if f.upstream == before {
+			if f.upstream == prev {
 				delete(e.flows, key)
 			}
 		}
 	}
-	e.upstreams[one.ID] = u
-	e.emit(UpstreamListed{Upstream: one})
+	e.upstreams[entry.ID] = u
+	e.emit(UpstreamListed{Upstream: entry})
 	return u
 }
 
-// Tick does what time makes due.
+// Tick runs the work that is due at the current time: probes of failing upstreams and
+// the removal of expired records.
 func (e *Engine) Tick() {
 	for _, u := range e.upstreams {
-		if !u.gone && u.health.Tick(e.now, 0) {
-			u.pending = 0 // the trial is judged by its own opening
-			e.judge(u, true)
+		if !u.removed && u.health.Tick(e.now, 0) {
+			u.pendingSince = 0 // only the SYN of the probe counts from here on
+			e.emitHealth(u, true)
 		}
 	}
-	if e.now-e.swept < sweepEvery {
+	if e.now-e.lastSweep < sweepInterval {
 		return
 	}
-	e.swept = e.now
+	e.lastSweep = e.now
 	e.sweepFlows()
-	e.forgetGone()
+	e.deleteRemoved()
 }
 
-func (e *Engine) forgetGone() {
-	forgotten := false
+func (e *Engine) deleteRemoved() {
+	deleted := false
 	for id, u := range e.upstreams {
-		if u.gone && e.now-u.left > rememberGone {
+		if u.removed && e.now-u.removedAt > retainRemoved {
 			delete(e.upstreams, id)
-			forgotten = true
+			deleted = true
 		}
 	}
-	if forgotten {
-		e.assign()
+	if deleted {
+		e.assignCookies()
 	}
 }
 
-// Use is what this VM knows about the use of one upstream.
+// Use is the load and health of one upstream as seen by this VM.
 type Use struct {
 	Upstream sparroster.Upstream
-	Flows    int  // open flows seen here
-	Healthy  bool // the flows seen here do not speak against it
+	Flows    int  // open flows on record
+	Healthy  bool // its health allows new flows
 }
 
-// Uses returns the use of each upstream of the roster, in the order of the roster.
+// Uses returns the use of each upstream in the roster, in the order of the roster.
 func (e *Engine) Uses() []Use {
 	uses := make([]Use, 0, len(e.roster.Upstreams))
-	for _, one := range e.roster.Upstreams {
-		u := e.upstreams[one.ID]
-		uses = append(uses, Use{Upstream: one, Flows: u.flows, Healthy: u.health.Opens()})
+	for _, entry := range e.roster.Upstreams {
+		u := e.upstreams[entry.ID]
+		uses = append(uses, Use{Upstream: entry, Flows: u.flows, Healthy: u.health.Opens()})
 	}
 	return uses
 }
--- a/internal/route/sparcookie/engine_test.go
+++ b/internal/route/sparcookie/engine_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	booking  = "booking"
-	receipts = "receipts"
-	rtt      = 7 * time.Millisecond
-	again    = 200 * time.Millisecond // after which a caller repeats
+	booking         = "booking"
+	receipts        = "receipts"
+	rtt             = 7 * time.Millisecond
+	retransmitAfter = 200 * time.Millisecond // after which a client retransmits
 )
 
 var (
-	watch  = endpoint("198.51.100.1:80")
-	holds  = endpoint("198.51.100.1:81")
-	sheets = endpoint("198.51.100.1:82")   // of another service
-	nobody = endpoint("198.51.100.9:9999") // has no route
+	bookingAddr  = mustEndpoint("198.51.100.1:80")
+	bookingAddr2 = mustEndpoint("198.51.100.1:81")
+	receiptsAddr = mustEndpoint("198.51.100.1:82")   // of another service
+	unroutedAddr = mustEndpoint("198.51.100.9:9999") // has no route
 )
 
-// fixture is an engine with a roster that a test changes.
+// fixture is an engine with a roster that tests can change.
 type fixture struct {
 	t         *testing.T
 	engine    *sparcookie.Engine
@@ -36,7 +36,7 @@
 	port      uint16
 }
 
-func endpoint(s string) sparflow.Endpoint {
+func mustEndpoint(s string) sparflow.Endpoint {
 	e, err := sparflow.ParseEndpoint(s)
 	if err != nil {
 		panic(err)
@@ -44,14 +44,15 @@
 	return e
 }
 
-func upstream(id uint64, domain string) sparroster.Upstream {
+func newUpstream(id uint64, domain string) sparroster.Upstream {
 	return sparroster.Upstream{
 		ID: id, Service: booking, Domain: domain, Slots: 2, Born: int64(id),
 		At: sparflow.MakeEndpoint(0x0a000000+uint32(id), 8080),
 	}
 }
 
-// newFixture has three upstreams in the domain of the VM and two elsewhere.
+// newFixture returns a fixture with three upstreams of a service in the failure domain of
+// the VM and two in another one.
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, engine: sparcookie.New("vm-1", "north", 10_000), now: time.Second, port: 1000}
 	for id := range uint64(5) {
@@ -59,15 +60,15 @@
 		if id > 2 {
 			domain = "south"
 		}
-		f.upstreams = append(f.upstreams, upstream(id+1, domain))
+		f.upstreams = append(f.upstreams, newUpstream(id+1, domain))
 	}
-	other := upstream(50, "north")
+	other := newUpstream(50, "north")
 	other.Service = receipts
 	f.upstreams = append(f.upstreams, other)
 	f.routes = []sparroster.Route{
-		{Address: watch, Targets: []sparroster.Target{{Service: booking, Weight: 1}}},
-		{Address: holds, Targets: []sparroster.Target{{Service: booking, Weight: 1}}},
-		{Address: sheets, Targets: []sparroster.Target{{Service: receipts, Weight: 1}}},
+		{Address: bookingAddr, Targets: []sparroster.Target{{Service: booking, Weight: 1}}},
+		{Address: bookingAddr2, Targets: []sparroster.Target{{Service: booking, Weight: 1}}},
+		{Address: receiptsAddr, Targets: []sparroster.Target{{Service: receipts, Weight: 1}}},
 	}
 	f.apply()
 	f.engine.Fresh(true)
@@ -95,7 +96,7 @@
 	f.engine.Apply(sparroster.New(registry, func(key string, _ []byte) (sparroster.Fact, error) { return facts[key], nil }))
 }
 
-// edit changes one upstream of the roster.
+// edit changes one upstream in the roster.
 func (f *fixture) edit(id uint64, change func(u *sparroster.Upstream)) {
 	for i := range f.upstreams {
 		if f.upstreams[i].ID == id {
@@ -105,7 +106,7 @@
 	f.apply()
 }
 
-// remove takes one upstream out of the roster.
+// remove removes one upstream from the roster.
 func (f *fixture) remove(id uint64) {
 	kept := f.upstreams[:0]
 	for _, u := range f.upstreams {
@@ -128,20 +129,20 @@
 	return f.engine.Forward(s)
 }
 
-// caller is one flow as its caller sees it.
-type caller struct {
+// client is the client side of one flow.
+type client struct {
 	f        *fixture
 	s        sparcookie.Segment
 	upstream uint64
 }
 
-func (f *fixture) caller(to sparflow.Endpoint) *caller {
+func (f *fixture) newClient(to sparflow.Endpoint) *client {
 	f.port++
-	return &caller{f: f, s: sparcookie.Segment{From: sparflow.MakeEndpoint(0x64400001, f.port), To: to, Seq: 100}}
+	return &client{f: f, s: sparcookie.Segment{From: sparflow.MakeEndpoint(0x64400001, f.port), To: to, Seq: 100}}
 }
 
-// open sends the opening.
-func (c *caller) open() sparcookie.Verdict {
+// open sends the SYN.
+func (c *client) open() sparcookie.Verdict {
 	s := c.s
 	s.Kind = sparcookie.Opening
 	v := c.f.forward(s)
@@ -149,22 +150,22 @@
 	return v
 }
 
-// answered acknowledges the answer to the opening.
-func (c *caller) answered() sparcookie.Verdict {
+// ackHandshake acknowledges the SYN-ACK.
+func (c *client) ackHandshake() sparcookie.Verdict {
 	c.f.wait(rtt)
 	c.s.Seq, c.s.Ack = 101, 500
 	return c.f.forward(c.s)
 }
 
-// ask sends a request; the same one until it is answered.
-func (c *caller) ask() sparcookie.Verdict {
+// request sends a request. It sends the same one until ackResponse is called.
+func (c *client) request() sparcookie.Verdict {
 	s := c.s
 	s.Size = 100
 	return c.f.forward(s)
 }
 
-// get acknowledges the answer to a request.
-func (c *caller) get() sparcookie.Verdict {
+// ackResponse acknowledges the response to a request.
+func (c *client) ackResponse() sparcookie.Verdict {
 	c.s.Seq += 100
 	c.s.Ack += 400
 	return c.f.forward(c.s)
@@ -177,13 +178,13 @@
 	}
 }
 
-// Example opens a flow at one VM and carries it on at another that never saw it.
+// Example opens a flow at one VM and continues it at another that has no record of it.
 func Example() {
 	t := &testing.T{}
 	first, second := newFixture(t), newFixture(t)
-	c := first.caller(watch)
+	c := first.newClient(bookingAddr)
 	c.open()
-	elsewhere := &caller{f: second, s: c.s}
-	fmt.Println(elsewhere.answered().ID == c.upstream)
+	other := &client{f: second, s: c.s}
+	fmt.Println(other.ackHandshake().ID == c.upstream)
 	// Output: true
 }
--- a/internal/route/sparcookie/export_test.go
+++ b/internal/route/sparcookie/export_test.go
@@ -1,4 +1,5 @@
 package sparcookie
 
-// FirstCookie returns the cookie that an upstream has unless another one has it.
-func FirstCookie(id uint64) Cookie { return candidate(id, 0) }
+// FirstCookie returns the cookie of the upstream with the ID, unless another upstream
+// already has that cookie.
+func FirstCookie(id uint64) Cookie { return candidateCookie(id, 0) }
--- a/internal/route/sparcookie/flow.go
+++ b/internal/route/sparcookie/flow.go
@@ -8,143 +8,145 @@
 )
 
 const (
-	// recentSpan is the time over which requests to an upstream count as recent: a few
-	// times the work of one request.
+	// recentSpan is the decay time of the recent requests of an upstream: a few times
+	// the service time of a request.
 	recentSpan = 60 * time.Millisecond
-	// paceSpan is the time over which the pace of requests is taken: long enough that
-	// chance does not look like load, short beside a burst of seconds.
-	paceSpan = 500 * time.Millisecond
-	// lostSpan is the time over which a lost request counts against its upstream: some
-	// times as long as callers wait, so that their next requests go elsewhere.
-	lostSpan = 5 * time.Second
+	// rateSpan is the decay time of the request rate of an upstream. It is long enough
+	// to average out random variation, and short compared with a burst of seconds.
+	rateSpan = 500 * time.Millisecond
+	// abandonedSpan is the decay time of the abandoned requests of an upstream: several
+	// client timeouts, so that the next requests of these clients go to other upstreams.
+	abandonedSpan = 5 * time.Second
 )
 
 type (
-	// flowKey names a flow.
+	// flowKey identifies a flow.
 	flowKey struct {
-		caller, service sparflow.Endpoint
+		client, service sparflow.Endpoint
 	}
 
-	// flow is what this VM has seen of one flow.
+	// flow is the record of one flow.
 	flow struct {
-		upstream *upstream
-		began    time.Duration // first opening
-		moved    time.Duration // last sign of progress, or the last opening sent
-		asked    time.Duration // when the request that waits for an answer came, or 0
-		seen     time.Duration // last packet
-		struck   time.Duration // when it last counted against its upstream, or 0
-		end      uint32        // sequence number behind the data seen
-		ack      uint32        // highest acknowledgement seen
-		helped   int           // packets sent through other VMs as well
-		opened   bool
-		closed   bool
-	}
-
-	// sight is what one packet shows.
-	sight struct {
-		answered, first, repeated, lost bool
-		waited                          time.Duration
-	}
-
-	// rate is a count of requests that decays over a span.
-	rate struct {
+		upstream     *upstream
+		began        time.Duration // time of the first SYN
+		lastProgress time.Duration // last packet that the client received, or last SYN sent
+		requestedAt  time.Duration // arrival of the pending request, or 0
+		lastSeen     time.Duration // last packet of the client
+		countedAt    time.Duration // last time that it counted in unansweredFlows, or 0
+		nextSeq      uint32        // sequence number after the last data seen
+		ack          uint32        // highest acknowledgement seen
+		relayCopies  int           // packets also sent through another VM
+		opened       bool
+		closed       bool
+	}
+
+	// observation is what one packet of a client shows.
+	observation struct {
+		answered, first, retransmitted, abandoned bool
+		waited                                    time.Duration
+	}
+
+	// decayingCount is a count of requests with exponential decay over a span.
+	decayingCount struct {
 		count float64
 		at    time.Duration
 	}
 )
 
-func keyOf(s Segment) flowKey { return flowKey{caller: s.From, service: s.To} }
+func keyOf(s Segment) flowKey { return flowKey{client: s.From, service: s.To} }
 
-// after reports whether sequence number a lies behind b.
-func after(a, b uint32) bool { return int32(a-b) > 0 }
+// seqAfter reports whether sequence number a follows b.
+func seqAfter(a, b uint32) bool { return int32(a-b) > 0 }
 
-// observe follows the flow and its upstream by one packet.
-func (e *Engine) observe(f *flow, s Segment) (seen sight) {
-	f.seen = e.now
+// observe updates the flow and its upstream from one packet.
+func (e *Engine) observe(f *flow, s Segment) (obs observation) {
+	f.lastSeen = e.now
 	if !f.opened {
 		f.opened = true
-		f.ack, f.end = s.Ack, s.Seq
-		seen = sight{answered: true, first: true, waited: e.now - f.began}
-		e.progress(f)
+		f.ack, f.nextSeq = s.Ack, s.Seq
+		obs = observation{answered: true, first: true, waited: e.now - f.began}
+		e.noteProgress(f)
 	}
-	if after(s.Ack, f.ack) {
+	if seqAfter(s.Ack, f.ack) {
 		f.ack = s.Ack
-		seen.answered = seen.answered || f.asked > 0
-		if f.asked > 0 {
-			seen.waited = e.now - f.asked
+		obs.answered = obs.answered || f.requestedAt > 0
+		if f.requestedAt > 0 {
+			obs.waited = e.now - f.requestedAt
 		}
-		f.asked = 0
-		e.progress(f)
+		f.requestedAt = 0
+		e.noteProgress(f)
 	}
 	if s.Size == 0 {
-		return seen
+		return obs
 	}
-	if end := s.Seq + uint32(s.Size); after(end, f.end) {
-		f.end = end
-		e.ask(f)
-		return seen
+	if end := s.Seq + uint32(s.Size); seqAfter(end, f.nextSeq) {
+		f.nextSeq = end
+		e.noteRequest(f)
+		return obs
 	}
-	if waited := e.now - max(f.asked, f.moved); waited >= copyAfter {
-		seen.repeated, seen.waited = true, waited
-		if f.upstream.heard <= f.asked {
-			e.suspect(f.upstream, f)
+	if waited := e.now - max(f.requestedAt, f.lastProgress); waited >= minRetransmitAge {
+		obs.retransmitted, obs.waited = true, waited
+		if f.upstream.lastResponse <= f.requestedAt {
+			e.noteUnanswered(f.upstream, f)
 		}
 	}
-	return seen // sooner it is a packet that another one overtook
+	return obs // before minRetransmitAge it is a reordered packet
 }
 
-// ask notes a request, unless one waits already.
-func (e *Engine) ask(f *flow) {
-	if f.asked == 0 {
-		f.asked = e.now
+// noteRequest records a request, unless one is already pending.
+func (e *Engine) noteRequest(f *flow) {
+	if f.requestedAt == 0 {
+		f.requestedAt = e.now
 		f.upstream.recent.add(e.now, recentSpan)
-		f.upstream.pace.add(e.now, paceSpan)
+		f.upstream.rate.add(e.now, rateSpan)
 	}
 }
 
-// giveUp notes that a caller ends its flow, and reports how long a request has waited
-// that was given up unanswered. The flow's end would make its upstream look less loaded
-// than those that answer.
-func (e *Engine) giveUp(f *flow) (waited time.Duration, lost bool) {
-	waited = e.now - f.asked
-	if f.asked == 0 || waited < copyAfter {
+// noteAbandoned records the end of a flow by its client. If the client abandons a
+// request, the result is how long the request has waited. Abandoned requests have to
+// count as load: otherwise the end of their flows would make an upstream that does not
+// answer look less loaded than the others.
+func (e *Engine) noteAbandoned(f *flow) (waited time.Duration, abandoned bool) {
+	waited = e.now - f.requestedAt
+	if f.requestedAt == 0 || waited < minRetransmitAge {
 		return 0, false
 	}
-	f.asked = 0
+	f.requestedAt = 0
 	e.stats.Lost++
-	f.upstream.lost.add(e.now, lostSpan)
+	f.upstream.abandoned.add(e.now, abandonedSpan)
 	return waited, true
 }
 
-// progress notes that a packet of the upstream has reached the caller.
-func (e *Engine) progress(f *flow) {
-	f.moved = e.now
+// noteProgress records that the client has received a packet from the upstream.
+func (e *Engine) noteProgress(f *flow) {
+	f.lastProgress = e.now
 	u := f.upstream
-	u.heard, u.pending, u.strikes = e.now, 0, 0
-	e.judge(u, u.health.Answered(e.now))
+	u.lastResponse, u.pendingSince, u.unansweredFlows = e.now, 0, 0
+	e.emitHealth(u, u.health.Answered(e.now))
 }
 
-// suspect notes that an upstream has left a packet of f without answer while nobody
-// else heard from it. A flow counts once until the upstream is heard again.
-func (e *Engine) suspect(u *upstream, f *flow) {
-	if f.struck <= u.heard || f.struck == 0 {
-		f.struck = e.now
-		u.strikes++
+// noteUnanswered records that u has not answered a packet of f and no other client has
+// received a response from u meanwhile. Each flow counts once until u responds again.
+func (e *Engine) noteUnanswered(u *upstream, f *flow) {
+	if f.countedAt <= u.lastResponse || f.countedAt == 0 {
+		f.countedAt = e.now
+		u.unansweredFlows++
 	}
-	e.judge(u, u.health.Failed(e.now))
+	e.emitHealth(u, u.health.Failed(e.now))
 }
 
-// judge tells of a change of health.
-func (e *Engine) judge(u *upstream, changed bool) {
+// emitHealth emits an event if the health of u has changed.
+func (e *Engine) emitHealth(u *upstream, changed bool) {
 	if changed {
-		e.emit(UpstreamJudged{Upstream: u.Upstream, State: u.health.State(), Silent: e.now - u.heard})
+		e.emit(UpstreamJudged{Upstream: u.Upstream, State: u.health.State(), Silent: e.now - u.lastResponse})
 	}
 }
 
 // Flows returns the number of flows on record.
 func (e *Engine) Flows() int { return len(e.flows) }
 
-// record keeps f, unless too many are kept. One that is not kept counts as no load.
+// record adds f to the flows on record, unless their number has reached the limit. A
+// flow that is not on record does not count as load.
 func (e *Engine) record(key flowKey, f *flow) {
 	if len(e.flows) >= e.maxFlows {
 		f.closed = true
@@ -154,7 +156,7 @@
 	f.upstream.flows++
 }
 
-// close ends the load that f stands for. Its last packets may still pass.
+// close removes f from the load of its upstream. Its last packets are still forwarded.
 func (e *Engine) close(f *flow) {
 	if !f.closed {
 		f.closed = true
@@ -162,7 +164,7 @@
 	}
 }
 
-// forget drops the record of a flow.
+// forget deletes the record of a flow.
 func (e *Engine) forget(key flowKey) {
 	f := e.flows[key]
 	if f == nil {
@@ -172,25 +174,25 @@
 	delete(e.flows, key)
 }
 
-// sweepFlows drops the records of flows that have ended.
+// sweepFlows deletes the records of flows that have ended.
 func (e *Engine) sweepFlows() {
 	for key, f := range e.flows {
-		idle := e.now - f.seen
+		idle := e.now - f.lastSeen
 		switch {
-		case f.closed && idle > openingLife,
-			!f.opened && idle > openingLife,
+		case f.closed && idle > openTimeout,
+			!f.opened && idle > openTimeout,
 			idle > e.roster.Routing.Idle,
-			e.now-f.began > rememberGone:
+			e.now-f.began > retainRemoved:
 			e.forget(key)
 		}
 	}
 }
 
-func (r *rate) add(now, span time.Duration) {
+func (r *decayingCount) add(now, span time.Duration) {
 	r.count = r.value(now, span) + 1
 	r.at = now
 }
 
-func (r *rate) value(now, span time.Duration) float64 {
+func (r *decayingCount) value(now, span time.Duration) float64 {
 	return r.count * math.Exp(-float64(now-r.at)/float64(span))
 }
--- a/internal/route/sparcookie/forward.go
+++ b/internal/route/sparcookie/forward.go
@@ -5,40 +5,40 @@
 )
 
 const (
-	// copyAfter is the least age of an opening whose copy says something about its
-	// upstream. Callers send the first copy after 200 ms.
-	copyAfter = 150 * time.Millisecond
-	// openingLife is how long a caller waits for its flow to open.
-	openingLife = 1500 * time.Millisecond
-	// openingSlack is the age from which an opening without answer speaks against its
-	// upstream: a quarter of the time after which callers repeat it.
-	openingSlack = 50 * time.Millisecond
-	// triesBeforeEnd is the number of other VMs that have sent a request in vain before
-	// the flow of a lost upstream is ended.
-	triesBeforeEnd = 2
+	// minRetransmitAge is the least age of a SYN or request at which its retransmission
+	// counts against the upstream. Clients retransmit first after 200 ms.
+	minRetransmitAge = 150 * time.Millisecond
+	// openTimeout is how long a client waits for its flow to open.
+	openTimeout = 1500 * time.Millisecond
+	// synAckTimeout is the age at which an unanswered SYN counts against its upstream:
+	// a quarter of the time after which clients retransmit it.
+	synAckTimeout = 50 * time.Millisecond
+	// relaysBeforeReset is the number of other VMs that must have sent a request without
+	// a response before a flow of a removed upstream is reset.
+	relaysBeforeReset = 2
 )
 
-// Forward decides on a packet from a caller.
+// Forward returns the verdict on a packet from a client.
 func (e *Engine) Forward(s Segment) Verdict {
 	if s.Relayed {
-		return e.relayed(s)
+		return e.forwardRelayed(s)
 	}
-	p := e.paths[s.To]
+	rec := e.routes[s.To]
 	if s.Kind == Opening {
-		return e.open(p, s)
+		return e.forwardSYN(rec, s)
 	}
-	if p == nil && e.roster.Revision == 0 {
+	if rec == nil && e.roster.Revision == 0 {
 		return e.drop(NotFresh)
 	}
-	if p == nil {
+	if rec == nil {
 		return e.drop(NoRoute)
 	}
-	return e.carry(p, s)
+	return e.forwardInFlow(rec, s)
 }
 
-// open decides on an opening.
-func (e *Engine) open(p *path, s Segment) Verdict {
-	if p == nil || !p.live {
+// forwardSYN returns the verdict on a SYN.
+func (e *Engine) forwardSYN(rec *routeRecord, s Segment) Verdict {
+	if rec == nil || !rec.live {
 		if !e.fresh {
 			return e.drop(NotFresh)
 		}
@@ -46,49 +46,49 @@
 	}
 	key := keyOf(s)
 	f := e.flows[key]
-	if f != nil && !f.opened && e.now-f.began < openingLife {
-		return e.openAgain(p, key, f)
+	if f != nil && !f.opened && e.now-f.began < openTimeout {
+		return e.retransmitSYN(rec, key, f)
 	}
-	u := e.choose(p, key, nil)
+	u := e.choose(rec, key, nil)
 	if u == nil {
 		return e.reset(NoUpstream, nil)
 	}
-	e.start(key, u, e.now)
+	e.recordSYN(key, u, e.now)
 	return e.send(Placed, u)
 }
 
-// start records an opening sent to u of a flow that began at a time.
-func (e *Engine) start(key flowKey, u *upstream, began time.Duration) {
+// recordSYN records a SYN sent to u. began is the time of the first SYN of the flow.
+func (e *Engine) recordSYN(key flowKey, u *upstream, began time.Duration) {
 	e.forget(key)
-	e.record(key, &flow{upstream: u, began: began, moved: e.now, seen: e.now})
-	if u.pending == 0 {
-		u.pending = e.now
+	e.record(key, &flow{upstream: u, began: began, lastProgress: e.now, lastSeen: e.now})
+	if u.pendingSince == 0 {
+		u.pendingSince = e.now
 	}
 }
 
-// openAgain decides on the copy of an opening that has had no answer. An upstream
-// that answers others meanwhile gets it again, since one of the packets was lost.
-// Otherwise another upstream does; the flow opens at the first whose answer the
-// caller acknowledges.
-func (e *Engine) openAgain(p *path, key flowKey, f *flow) Verdict {
+// retransmitSYN returns the verdict on a retransmitted SYN that has had no response.
+// If its upstream has answered other clients meanwhile, a packet was lost and the SYN
+// goes to the same upstream. Otherwise it goes to another one, if there is one. The
+// flow opens at the first upstream whose SYN-ACK the client acknowledges.
+func (e *Engine) retransmitSYN(rec *routeRecord, key flowKey, f *flow) Verdict {
 	u := f.upstream
-	f.seen = e.now
-	if e.now-f.moved < copyAfter || u.heard > f.moved {
+	f.lastSeen = e.now
+	if e.now-f.lastProgress < minRetransmitAge || u.lastResponse > f.lastProgress {
 		return e.send(Repeated, u)
 	}
-	e.suspect(u, f)
-	other := e.choose(p, key, u)
+	e.noteUnanswered(u, f)
+	other := e.choose(rec, key, u)
 	if other == nil {
 		return e.send(Repeated, u)
 	}
-	e.start(key, other, f.began)
+	e.recordSYN(key, other, f.began)
 	v := e.send(Moved, other)
-	v.Silent, v.Waited = e.now-u.heard, e.now-f.began
+	v.Silent, v.Waited = e.now-u.lastResponse, e.now-f.began
 	return v
 }
 
-// carry decides on a packet of an open flow.
-func (e *Engine) carry(p *path, s Segment) Verdict {
+// forwardInFlow returns the verdict on a packet of an open flow.
+func (e *Engine) forwardInFlow(rec *routeRecord, s Segment) Verdict {
 	key := keyOf(s)
 	f := e.flows[key]
 	u := e.cookies[s.Cookie]
@@ -98,57 +98,59 @@
 	if u == nil {
 		return e.drop(UnknownCookie)
 	}
-	if !e.served(p, u) {
+	if !e.mayServe(rec, u) {
 		return e.drop(WrongService)
 	}
 	if f == nil || f.upstream != u {
 		e.forget(key)
-		f = &flow{upstream: u, opened: true, began: e.now, moved: e.now, seen: e.now, ack: s.Ack, end: s.Seq}
+		f = &flow{upstream: u, opened: true, began: e.now, lastProgress: e.now, lastSeen: e.now, ack: s.Ack, nextSeq: s.Seq}
 		e.record(key, f)
 	}
-	if !p.live {
-		return e.dropped(key, u)
+	if !rec.live {
+		return e.forwardUnrouted(key, u)
 	}
-	seen := e.observe(f, s)
+	obs := e.observe(f, s)
 	if s.Kind == Finishing || s.Kind == Resetting {
-		if waited, lost := e.giveUp(f); lost {
-			seen.lost, seen.waited = true, waited
+		if waited, abandoned := e.noteAbandoned(f); abandoned {
+			obs.abandoned, obs.waited = true, waited
 		}
 		e.close(f)
 	}
-	if seen.repeated && e.certainlyGone(u, f) {
+	if obs.retransmitted && e.mayReset(u, f) {
 		e.forget(key)
 		return e.reset(UpstreamGone, u)
 	}
 	v := Verdict{}
-	if helper := e.helper(f, s, seen); helper != 0 {
+	if via := e.pickRelay(f, s, obs); via != 0 {
 		v = e.send(Assisted, u)
-		v.Helper = helper
+		v.Helper = via
 	} else {
 		v = e.send(Carried, u)
 	}
-	v.Answered, v.First, v.Unanswered, v.Lost, v.Waited = seen.answered, seen.first, seen.repeated, seen.lost, seen.waited
+	v.Answered, v.First, v.Unanswered, v.Lost, v.Waited = obs.answered, obs.first, obs.retransmitted, obs.abandoned, obs.waited
 	return v
 }
 
-// certainlyGone reports whether a flow that repeats in vain may be ended: its upstream has
-// left the list and answers nobody here. One that drained before has ended as planned. The
-// entry of another may have lapsed while it lives, so other VMs are tried first.
-func (e *Engine) certainlyGone(u *upstream, f *flow) bool {
-	silent := e.now-max(f.moved, u.heard) >= copyAfter
-	return u.gone && silent && (u.Draining || f.helped >= triesBeforeEnd)
+// mayReset reports whether a flow with unanswered retransmissions may be reset: its
+// upstream is not in the roster and answers no client of this VM. An upstream that drained
+// before its removal has stopped as planned. Otherwise its entry may have expired while it
+// is still running, so other VMs are tried first.
+func (e *Engine) mayReset(u *upstream, f *flow) bool {
+	silent := e.now-max(f.lastProgress, u.lastResponse) >= minRetransmitAge
+	return u.removed && silent && (u.Draining || f.relayCopies >= relaysBeforeReset)
 }
 
-// served reports whether a flow of the path may be at the upstream. A route may have
-// listed other services before this VM knew it, and their flows stay where they are
-// for as long as a flow lives. An upstream takes no data of a flow that it never
-// accepted, so until then the check can wait.
-func (e *Engine) served(p *path, u *upstream) bool {
-	return p.services[u.Service] || e.now-p.since < FlowLife
+// mayServe reports whether u may have flows of the route. Before this VM first saw the
+// route it may have named other services, whose flows stay at their upstreams for up to
+// MaxFlowAge. Until then every upstream passes: an upstream takes no data of a flow that
+// it has not accepted.
+func (e *Engine) mayServe(rec *routeRecord, u *upstream) bool {
+	return rec.services[u.Service] || e.now-rec.since < MaxFlowAge
 }
 
-// dropped ends a flow whose route is no more.
-func (e *Engine) dropped(key flowKey, u *upstream) Verdict {
+// forwardUnrouted returns the verdict on a packet whose route was removed. It resets the
+// flow, unless the settings are too old to refuse flows.
+func (e *Engine) forwardUnrouted(key flowKey, u *upstream) Verdict {
 	if !e.fresh {
 		return e.send(Carried, u)
 	}
--- a/internal/route/sparcookie/forward_test.go
+++ b/internal/route/sparcookie/forward_test.go
@@ -9,13 +9,13 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparroster"
 )
 
-func TestAnyVMCarriesAnyFlow(t *testing.T) {
+func TestAnyVMForwardsAnyFlow(t *testing.T) {
 	first, second := newFixture(t), newFixture(t)
 	for range 200 {
-		c := first.caller(watch)
+		c := first.newClient(bookingAddr)
 		c.open()
-		elsewhere := &caller{f: second, s: c.s, upstream: c.upstream}
-		if v := elsewhere.answered(); v.Action != sparcookie.ToUpstream || v.ID != c.upstream {
+		other := &client{f: second, s: c.s, upstream: c.upstream}
+		if v := other.ackHandshake(); v.Action != sparcookie.ToUpstream || v.ID != c.upstream {
 			t.Fatalf("verdict %+v for a flow at upstream %d", v, c.upstream)
 		}
 	}
@@ -24,21 +24,21 @@
 func TestSettingsMoveNoFlow(t *testing.T) {
 	changes := []struct {
 		name   string
-		change func(f *fixture, c *caller)
+		change func(f *fixture, c *client)
 	}{
-		{"upstream drains", func(f *fixture, c *caller) {
+		{"upstream drains", func(f *fixture, c *client) {
 			f.edit(c.upstream, func(u *sparroster.Upstream) { u.Draining = true })
 		}},
-		{"upstream leaves the list", func(f *fixture, c *caller) { f.remove(c.upstream) }},
-		{"upstreams join", func(f *fixture, _ *caller) {
-			f.upstreams = append(f.upstreams, upstream(7, "north"), upstream(8, "north"))
+		{"upstream is removed", func(f *fixture, c *client) { f.remove(c.upstream) }},
+		{"upstreams are added", func(f *fixture, _ *client) {
+			f.upstreams = append(f.upstreams, newUpstream(7, "north"), newUpstream(8, "north"))
 			f.apply()
 		}},
-		{"route names another service", func(f *fixture, _ *caller) {
+		{"route names another service", func(f *fixture, _ *client) {
 			f.routes[0].Targets = []sparroster.Target{{Service: receipts, Weight: 1}}
 			f.apply()
 		}},
-		{"service has no share any more", func(f *fixture, _ *caller) {
+		{"service has no weight any more", func(f *fixture, _ *client) {
 			f.routes[0].Targets = []sparroster.Target{{Service: booking}, {Service: receipts, Weight: 1}}
 			f.apply()
 		}},
@@ -46,12 +46,12 @@
 	for _, c := range changes {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			flow := f.caller(watch)
+			flow := f.newClient(bookingAddr)
 			flow.open()
-			flow.answered()
+			flow.ackHandshake()
 			c.change(f, flow)
 			f.wait(time.Second)
-			v := flow.ask()
+			v := flow.request()
 			wantVerdict(t, v, sparcookie.ToUpstream, sparcookie.Carried)
 			if v.ID != flow.upstream {
 				t.Errorf("moved from %d to %d", flow.upstream, v.ID)
@@ -60,109 +60,110 @@
 	}
 }
 
-// TestYoungVMPassesFlowsOfEarlierRoutes is the pattern of a rolling restart after a
-// route has changed its service.
-func TestYoungVMPassesFlowsOfEarlierRoutes(t *testing.T) {
-	old, young := newFixture(t), newFixture(t)
-	c := old.caller(watch)
+// TestRestartedVMForwardsFlowsOfEarlierRoutes covers a rolling restart after a route has
+// changed its service: a VM that knows only the new service must not drop flows of the
+// old one.
+func TestRestartedVMForwardsFlowsOfEarlierRoutes(t *testing.T) {
+	running, restarted := newFixture(t), newFixture(t)
+	c := running.newClient(bookingAddr)
 	c.open()
-	young.routes[0].Targets = []sparroster.Target{{Service: receipts, Weight: 1}}
-	young = &fixture{t: t, engine: sparcookie.New("vm-1", "north", 100), now: time.Second, upstreams: young.upstreams, routes: young.routes}
-	young.apply()
-	elsewhere := &caller{f: young, s: c.s}
-	wantVerdict(t, elsewhere.answered(), sparcookie.ToUpstream, sparcookie.Carried)
-	young.wait(sparcookie.FlowLife)
-	wantVerdict(t, elsewhere.ask(), sparcookie.Drop, sparcookie.WrongService)
+	restarted.routes[0].Targets = []sparroster.Target{{Service: receipts, Weight: 1}}
+	restarted = &fixture{t: t, engine: sparcookie.New("vm-1", "north", 100), now: time.Second, upstreams: restarted.upstreams, routes: restarted.routes}
+	restarted.apply()
+	other := &client{f: restarted, s: c.s}
+	wantVerdict(t, other.ackHandshake(), sparcookie.ToUpstream, sparcookie.Carried)
+	restarted.wait(sparcookie.MaxFlowAge)
+	wantVerdict(t, other.request(), sparcookie.Drop, sparcookie.WrongService)
 }
 
 func TestUnknownCookieIsDropped(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.s.Cookie = 12345
-	wantVerdict(t, c.answered(), sparcookie.Drop, sparcookie.UnknownCookie)
+	wantVerdict(t, c.ackHandshake(), sparcookie.Drop, sparcookie.UnknownCookie)
 	c.s.Cookie = 0
-	wantVerdict(t, c.ask(), sparcookie.Drop, sparcookie.UnknownCookie)
+	wantVerdict(t, c.request(), sparcookie.Drop, sparcookie.UnknownCookie)
 }
 
 func TestRefusals(t *testing.T) {
 	f := newFixture(t)
-	wantVerdict(t, f.caller(nobody).open(), sparcookie.Reset, sparcookie.NoRoute)
+	wantVerdict(t, f.newClient(unroutedAddr).open(), sparcookie.Reset, sparcookie.NoRoute)
 	f.engine.Fresh(false)
-	wantVerdict(t, f.caller(nobody).open(), sparcookie.Drop, sparcookie.NotFresh)
+	wantVerdict(t, f.newClient(unroutedAddr).open(), sparcookie.Drop, sparcookie.NotFresh)
 	f.engine.Fresh(true)
 	for id := range uint64(5) {
 		f.edit(id+1, func(u *sparroster.Upstream) { u.Draining = true })
 	}
-	wantVerdict(t, f.caller(watch).open(), sparcookie.Reset, sparcookie.NoUpstream)
-	wantVerdict(t, f.caller(sheets).open(), sparcookie.ToUpstream, sparcookie.Placed)
+	wantVerdict(t, f.newClient(bookingAddr).open(), sparcookie.Reset, sparcookie.NoUpstream)
+	wantVerdict(t, f.newClient(receiptsAddr).open(), sparcookie.ToUpstream, sparcookie.Placed)
 }
 
 func TestDroppedRouteEndsItsFlows(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
-	c.answered()
+	c.ackHandshake()
 	f.routes = f.routes[1:]
 	f.apply()
 	f.engine.Fresh(false)
-	wantVerdict(t, c.ask(), sparcookie.ToUpstream, sparcookie.Carried)
+	wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Carried)
 	f.engine.Fresh(true)
-	wantVerdict(t, c.ask(), sparcookie.Reset, sparcookie.RouteDropped)
+	wantVerdict(t, c.request(), sparcookie.Reset, sparcookie.RouteDropped)
 }
 
-// TestGoneUpstream is the pattern of servers that end: a caller that repeats in vain is
-// told at once where the end was planned, otherwise after two other VMs were tried; one
-// that is answered stays.
-func TestGoneUpstream(t *testing.T) {
+// TestRemovedUpstream covers servers that stop. A client without a response is reset at
+// once if the upstream drained before, otherwise after requests through two other VMs. A
+// flow that gets responses stays.
+func TestRemovedUpstream(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		t.Run(fmt.Sprintf("planned %v", planned), func(t *testing.T) {
 			f := newFixture(t)
-			c := f.caller(watch)
+			c := f.newClient(bookingAddr)
 			c.open()
-			c.answered()
+			c.ackHandshake()
 			f.edit(c.upstream, func(u *sparroster.Upstream) { u.Draining = planned })
 			f.remove(c.upstream)
-			wantVerdict(t, c.ask(), sparcookie.ToUpstream, sparcookie.Carried)
+			wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Carried)
 			f.wait(rtt)
-			c.get()
-			wantVerdict(t, c.ask(), sparcookie.ToUpstream, sparcookie.Carried)
+			c.ackResponse()
+			wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Carried)
 			for range 2 {
-				f.wait(again)
+				f.wait(retransmitAfter)
 				if !planned {
-					wantVerdict(t, c.ask(), sparcookie.ToUpstream, sparcookie.Assisted)
+					wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Assisted)
 				}
 			}
-			f.wait(again)
-			wantVerdict(t, c.ask(), sparcookie.Reset, sparcookie.UpstreamGone)
+			f.wait(retransmitAfter)
+			wantVerdict(t, c.request(), sparcookie.Reset, sparcookie.UpstreamGone)
 		})
 	}
 }
 
-func TestOvertakingPacketIsNoRepeat(t *testing.T) {
+func TestReorderedPacketIsNoRetransmit(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
-	c.answered()
+	c.ackHandshake()
 	second := c.s
 	second.Seq, second.Size = c.s.Seq+100, 50
 	f.forward(second)
-	if v := c.ask(); v.Unanswered {
-		t.Error("a packet that another one overtook counts as repeated")
+	if v := c.request(); v.Unanswered {
+		t.Error("a reordered packet counts as a retransmission")
 	}
 }
 
 func TestRestartedUpstreamKeepsItsCookie(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
 	f.edit(c.upstream, func(u *sparroster.Upstream) { u.Born += 1000 })
-	if v := c.answered(); v.ID != c.upstream {
+	if v := c.ackHandshake(); v.ID != c.upstream {
 		t.Errorf("flow of a restarted upstream went to %d, want %d", v.ID, c.upstream)
 	}
 }
 
-// TestSharedCookie looks for two upstreams whose first cookies are equal and checks
-// that VMs which learn of them in either order agree on both.
+// TestSharedCookie checks that VMs assign the same cookies to two upstreams with the same
+// first cookie, whichever upstream they learn of first.
 func TestSharedCookie(t *testing.T) {
 	a, b := sharedCookie()
 	t.Logf("upstreams %d and %d", a, b)
@@ -170,17 +171,17 @@
 	var got []string
 	for _, order := range orders {
 		f := &fixture{t: t, engine: sparcookie.New("vm-1", "north", 100), now: time.Second, port: 1000}
-		f.routes = []sparroster.Route{{Address: watch, Targets: []sparroster.Target{{Service: booking, Weight: 1}}}}
+		f.routes = []sparroster.Route{{Address: bookingAddr, Targets: []sparroster.Target{{Service: booking, Weight: 1}}}}
 		for _, id := range order {
-			f.upstreams = append(f.upstreams, upstream(id, "north"))
+			f.upstreams = append(f.upstreams, newUpstream(id, "north"))
 			f.apply()
 		}
 		cookies := map[uint64]sparcookie.Cookie{}
 		for range 50 {
-			c := f.caller(watch)
+			c := f.newClient(bookingAddr)
 			c.open()
 			cookies[c.upstream] = c.s.Cookie
-			if v := c.answered(); v.ID != c.upstream {
+			if v := c.ackHandshake(); v.ID != c.upstream {
 				t.Fatalf("flow at %d went to %d", c.upstream, v.ID)
 			}
 		}
@@ -194,7 +195,7 @@
 	}
 }
 
-// sharedCookie returns two ids with the same first cookie.
+// sharedCookie returns two IDs with the same first cookie.
 func sharedCookie() (a, b uint64) {
 	seen := map[sparcookie.Cookie]uint64{}
 	for id := uint64(1); ; id++ {
@@ -208,22 +209,22 @@
 
 func TestRecordsAreBounded(t *testing.T) {
 	f := &fixture{t: t, engine: sparcookie.New("vm-1", "north", 100), now: time.Second, port: 1000}
-	whole := newFixture(t)
-	f.upstreams, f.routes = whole.upstreams, whole.routes
+	full := newFixture(t)
+	f.upstreams, f.routes = full.upstreams, full.routes
 	f.apply()
 	for range 1000 {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		c.open()
-		c.answered()
+		c.ackHandshake()
 	}
 	if n := f.engine.Flows(); n > 100 {
 		t.Errorf("%d flows on record, want at most 100", n)
 	}
-	for range 50 { // flows without a record end
-		c := f.caller(watch)
+	for range 50 { // flows that are not on record end
+		c := f.newClient(bookingAddr)
 		c.open()
 		c.s.Kind = sparcookie.Finishing
-		c.answered()
+		c.ackHandshake()
 	}
 	for _, use := range f.engine.Uses() {
 		if use.Flows < 0 {
@@ -238,23 +239,23 @@
 
 func TestMidFlowAllocatesNothing(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
-	c.answered()
+	c.ackHandshake()
 	s := c.s
 	if n := testing.AllocsPerRun(1000, func() { f.engine.Forward(s) }); n != 0 {
 		t.Errorf("%v allocations for a packet in a flow", n)
 	}
 }
 
-// BenchmarkForward decides on a packet in a flow, one of 10,000 open ones.
+// BenchmarkForward forwards packets of 9,000 open flows, each in turn.
 func BenchmarkForward(b *testing.B) {
 	f := newFixture(&testing.T{})
 	var segments []sparcookie.Segment
 	for range 9_000 {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		c.open()
-		c.answered()
+		c.ackHandshake()
 		segments = append(segments, c.s)
 	}
 	b.ReportAllocs()
--- a/internal/route/sparcookie/place.go
+++ b/internal/route/sparcookie/place.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	// trialEvery is the least time between two openings that try an upstream out.
-	trialEvery = 300 * time.Millisecond
-	// warmingShare is the share of new flows of an upstream that has just started.
+	// probeInterval is the least time between two SYNs that probe an upstream.
+	probeInterval = 300 * time.Millisecond
+	// warmingShare is the part of its capacity that an upstream has while it warms up.
 	warmingShare = 0.5
-	// spillAt is the share of the slots of a failure domain at work from which on
-	// upstreams of other domains are weighed too. Beyond it requests begin to queue.
-	spillAt = 0.75
-	// lostWeight is what a lost request counts for beside those that are open: as many
-	// as an upstream lets wait, since nothing tells whether it has room for them.
-	lostWeight = 8
-	// typicalWork is what a request occupies a slot for, in today's services.
-	typicalWork = 20 * time.Millisecond
+	// spillThreshold is the utilization of the slots of a failure domain above which
+	// new flows may go to other domains. Beyond it requests begin to queue.
+	spillThreshold = 0.75
+	// abandonedWeight is the load of an abandoned request in open flows: the number of
+	// requests that an upstream queues, since its queue may be full.
+	abandonedWeight = 8
+	// typicalServiceTime is how long a request occupies a slot in today's services.
+	typicalServiceTime = 20 * time.Millisecond
 )
 
-// tier is how well an upstream suits an opening; lower is better.
+// tier is the preference of an upstream for new flows; lower is better.
 type tier int
 
 const (
-	tierLocal  tier = iota // healthy, in the failure domain of this VM
-	tierRemote             // healthy, elsewhere
-	tierSilent             // answers nobody as far as seen here
-	tierNone               // takes no openings
+	tierLocal     tier = iota // healthy, in the failure domain of this VM
+	tierRemote                // healthy, in another failure domain
+	tierUnhealthy             // answers no client of this VM
+	tierNone                  // takes no new flows
 )
 
-// choose returns the best upstream for an opening, or nil where none takes it. It
-// avoids the one given unless that is the only one.
-func (e *Engine) choose(p *path, key flowKey, avoid *upstream) *upstream {
-	service := e.pickService(p, key)
-	if u := e.best(service, key, avoid); u != nil {
+// choose returns the best upstream for a SYN apart from exclude, or nil if none takes it.
+// It tries the service drawn by weight first, then the others with a weight.
+func (e *Engine) choose(rec *routeRecord, key flowKey, exclude *upstream) *upstream {
+	service := e.pickService(rec, key)
+	if u := e.best(service, key, exclude); u != nil {
 		return u
 	}
-	for _, t := range p.route.Targets {
+	for _, t := range rec.route.Targets {
 		if t.Weight == 0 || t.Service == service {
 			continue
 		}
-		if u := e.best(t.Service, key, avoid); u != nil {
+		if u := e.best(t.Service, key, exclude); u != nil {
 			return u
 		}
 	}
 	return nil
 }
 
-// pickService draws a service by its share, the same for every copy of an opening.
-func (e *Engine) pickService(p *path, key flowKey) string {
+// pickService draws a service by weight. It is the same for all retransmissions of a SYN.
+func (e *Engine) pickService(rec *routeRecord, key flowKey) string {
 	total := 0
-	for _, t := range p.route.Targets {
+	for _, t := range rec.route.Targets {
 		total += t.Weight
 	}
 	if total == 0 {
 		return ""
 	}
-	draw := int(sparrank.Weight(0, uint64(key.caller)) % uint64(total))
-	for _, t := range p.route.Targets {
+	draw := int(sparrank.Weight(0, uint64(key.client)) % uint64(total))
+	for _, t := range rec.route.Targets {
 		draw -= t.Weight
 		if draw < 0 {
 			return t.Service
@@ -68,40 +68,40 @@
 	return ""
 }
 
-// best returns the least loaded upstream of the best tier of a service. Those of other
-// failure domains are looked at only where the own ones do not suffice.
-func (e *Engine) best(service string, key flowKey, avoid *upstream) *upstream {
-	m := e.services[service]
-	if m == nil {
+// best returns the least loaded upstream of the best tier of a service. It considers other
+// failure domains only if the upstreams of this one are full or not healthy.
+func (e *Engine) best(service string, key flowKey, exclude *upstream) *upstream {
+	p := e.pools[service]
+	if p == nil {
 		return nil
 	}
-	full := e.domainFull(m.local)
+	full := e.domainFull(p.local)
 	if !full {
-		if u, t := e.bestOf(m.local, key, avoid, false); t == tierLocal {
-			return e.place(u)
+		if u, t := e.bestOf(p.local, key, exclude, false); t == tierLocal {
+			return e.markPlaced(u)
 		}
 	}
-	u, _ := e.bestOf(m.all, key, avoid, full)
-	return e.place(u)
+	u, _ := e.bestOf(p.all, key, exclude, full)
+	return e.markPlaced(u)
 }
 
-// place notes that an opening goes to u, which may be nil.
-func (e *Engine) place(u *upstream) *upstream {
+// markPlaced records that a SYN goes to u, which may be nil.
+func (e *Engine) markPlaced(u *upstream) *upstream {
 	if u != nil {
-		u.placed = e.now
+		u.lastSYN = e.now
 	}
 	return u
 }
 
-// bestOf returns the least loaded upstream of the best tier, and that tier. Where the own
-// failure domain is full the others are as good.
-func (e *Engine) bestOf(upstreams []*upstream, key flowKey, avoid *upstream, full bool) (best *upstream, bestTier tier) {
+// bestOf returns the least loaded upstream of the best tier, and that tier. If this failure
+// domain is full, upstreams of the others have the same tier as local ones.
+func (e *Engine) bestOf(upstreams []*upstream, key flowKey, exclude *upstream, full bool) (best *upstream, bestTier tier) {
 	var bestScore float64
 	bestTier = tierNone
 	for _, u := range upstreams {
-		e.expect(u)
+		e.ejectOverdue(u)
 		t := e.tierOf(u)
-		if u == avoid || t == tierNone {
+		if u == exclude || t == tierNone {
 			continue
 		}
 		if t == tierRemote && full {
@@ -115,49 +115,50 @@
 	return best, bestTier
 }
 
-// expect takes an upstream out whose answer to an opening is overdue. Any answer to
-// another flow brings it back.
-func (e *Engine) expect(u *upstream) {
-	if u.pending > 0 && e.now-u.pending >= openingSlack && u.health.Opens() && e.now-u.placed >= openingSlack {
-		e.judge(u, u.health.Ejected(e.now))
+// ejectOverdue ejects an upstream whose response to a SYN is overdue. A response to any
+// flow takes it back.
+func (e *Engine) ejectOverdue(u *upstream) {
+	if u.pendingSince > 0 && e.now-u.pendingSince >= synAckTimeout && u.health.Opens() && e.now-u.lastSYN >= synAckTimeout {
+		e.emitHealth(u, u.health.Ejected(e.now))
 	}
 }
 
-// tierOf says how well an upstream suits an opening.
+// tierOf returns the tier of u.
 func (e *Engine) tierOf(u *upstream) tier {
 	switch {
-	case u.Draining || u.gone:
+	case u.Draining || u.removed:
 		return tierNone
-	case !u.health.Opens(), u.health.OnTrial() && e.now-u.placed < trialEvery:
-		return tierSilent
+	case !u.health.Opens(), u.health.OnTrial() && e.now-u.lastSYN < probeInterval:
+		return tierUnhealthy
 	case u.Domain == e.domain:
 		return tierLocal
 	}
 	return tierRemote
 }
 
-// domainFull reports whether the upstreams of this failure domain have little room
-// left. The other VMs of the domain are taken to pass as many requests as this one.
+// domainFull reports whether the utilization of the healthy upstreams of this domain has
+// reached spillThreshold. It assumes that the other VMs of the domain forward as many
+// requests as this one.
 func (e *Engine) domainFull(local []*upstream) bool {
 	requests, slots := 0.0, 0
 	for _, u := range local {
 		if e.tierOf(u) == tierLocal {
-			requests += u.pace.value(e.now, paceSpan)
+			requests += u.rate.value(e.now, rateSpan)
 			slots += u.Slots
 		}
 	}
-	busy := requests * float64(typicalWork) / float64(paceSpan) * float64(max(e.siblings, 1))
-	return busy >= spillAt*float64(slots)
+	busy := requests * float64(typicalServiceTime) / float64(rateSpan) * float64(max(e.domainVMs, 1))
+	return busy >= spillThreshold*float64(slots)
 }
 
-// score is the load of an upstream for each request that it can work on at once.
-// The fraction from the flow's rank spreads equal ones over VMs.
+// score returns the load of u per slot. A fraction below 1 that depends on the flow breaks
+// ties, so that VMs spread their flows over equally loaded upstreams.
 func (e *Engine) score(u *upstream, key flowKey) float64 {
-	load := float64(u.flows) + 2*u.recent.value(e.now, recentSpan) + lostWeight*u.lost.value(e.now, lostSpan)
-	load += float64(sparrank.Weight(int(uint32(key.caller)), u.ID)>>40) / (1 << 24)
-	room := float64(u.Slots)
-	if e.now < u.warmed {
-		room *= warmingShare
+	load := float64(u.flows) + 2*u.recent.value(e.now, recentSpan) + abandonedWeight*u.abandoned.value(e.now, abandonedSpan)
+	load += float64(sparrank.Weight(int(uint32(key.client)), u.ID)>>40) / (1 << 24)
+	capacity := float64(u.Slots)
+	if e.now < u.warmUntil {
+		capacity *= warmingShare
 	}
-	return load / room
+	return load / capacity
 }
--- a/internal/route/sparcookie/place_test.go
+++ b/internal/route/sparcookie/place_test.go
@@ -17,17 +17,18 @@
 	return ""
 }
 
-// openMany opens flows that are answered and returns how many each upstream got.
-func (f *fixture) openMany(n int, dead func(id uint64) bool) map[uint64]int {
+// openMany opens n flows and returns the number at each upstream. Upstreams for which
+// silent returns true do not respond; nil means that all respond.
+func (f *fixture) openMany(n int, silent func(id uint64) bool) map[uint64]int {
 	got := map[uint64]int{}
 	for range n {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		if v := c.open(); v.Action != sparcookie.ToUpstream {
-			f.t.Fatalf("opening refused: %v", v.Cause)
+			f.t.Fatalf("SYN refused: %v", v.Cause)
 		}
 		got[c.upstream]++
-		if dead == nil || !dead(c.upstream) {
-			c.answered()
+		if silent == nil || !silent(c.upstream) {
+			c.ackHandshake()
 		}
 		f.wait(10 * time.Millisecond)
 	}
@@ -38,10 +39,10 @@
 	f := newFixture(t)
 	for id, n := range f.openMany(300, nil) {
 		if f.domainOf(id) != "north" {
-			t.Errorf("%d openings went to upstream %d in another failure domain", n, id)
+			t.Errorf("%d flows went to upstream %d in another failure domain", n, id)
 		}
 		if n != 100 {
-			t.Errorf("upstream %d got %d of 300 openings, want 100", id, n)
+			t.Errorf("upstream %d got %d of 300 flows, want 100", id, n)
 		}
 	}
 }
@@ -52,165 +53,168 @@
 		f.edit(id+1, func(u *sparroster.Upstream) { u.Draining = true })
 	}
 	if got := f.openMany(100, nil); got[4]+got[5] != 100 {
-		t.Errorf("openings %v, want all of them at upstreams 4 and 5", got)
+		t.Errorf("flows %v, want all of them at upstreams 4 and 5", got)
 	}
 }
 
-// TestBurstSpills is the pattern of many users at once: requests beyond the room of
-// the own failure domain go to others, before they queue.
+// TestBurstSpills covers a burst of requests: those beyond the capacity of the own failure
+// domain go to other domains before they queue.
 func TestBurstSpills(t *testing.T) {
 	f := newFixture(t)
 	got := map[string]int{}
-	for range 600 { // 1,000 requests a second where 6 slots work 20 ms each
-		c := f.caller(watch)
+	for range 600 { // 1,000 requests per second at 6 slots, 20 ms each
+		c := f.newClient(bookingAddr)
 		c.open()
 		c.s.Seq, c.s.Ack = 101, 500
 		c.f.forward(c.s)
-		c.ask()
+		c.request()
 		got[f.domainOf(c.upstream)]++
 		f.wait(time.Millisecond)
 	}
-	if got["south"] < 120 { // 6 slots do 300 requests a second, the other four 200
-		t.Errorf("openings by failure domain %v, want at least 120 of 600 elsewhere", got)
+	if got["south"] < 120 { // 6 slots serve 300 requests per second, the other four 200
+		t.Errorf("flows by failure domain %v, want at least 120 of 600 in the other one", got)
 	}
 }
 
-func TestDrainingTakesNoOpenings(t *testing.T) {
+func TestDrainingTakesNoNewFlows(t *testing.T) {
 	f := newFixture(t)
 	f.edit(2, func(u *sparroster.Upstream) { u.Draining = true })
 	if got := f.openMany(200, nil); got[2] != 0 {
-		t.Errorf("%d openings at a draining upstream", got[2])
+		t.Errorf("%d new flows at a draining upstream", got[2])
 	}
 }
 
-// TestSilentUpstream is the pattern of a server that falls silent while it is listed.
+// TestSilentUpstream covers a server that stops responding while it is in the roster.
 func TestSilentUpstream(t *testing.T) {
 	f := newFixture(t)
-	dead := func(id uint64) bool { return id == 2 }
+	silent := func(id uint64) bool { return id == 2 }
 	f.openMany(60, nil)
-	if got := f.openMany(150, dead); got[2] > 4 { // 1.5 s: what overlaps, and one trial
-		t.Errorf("%d of 150 openings at a silent upstream, want at most 4", got[2])
+	if got := f.openMany(150, silent); got[2] > 4 { // 1.5 s: SYNs sent before the ejection, and one probe
+		t.Errorf("%d of 150 SYNs at a silent upstream, want at most 4", got[2])
 	}
 }
 
-// TestSilentUpstreamComesBack checks that one trial opening ends the silence.
+// TestSilentUpstreamComesBack checks that one successful probe takes an ejected upstream
+// back.
 func TestSilentUpstreamComesBack(t *testing.T) {
 	f := newFixture(t)
 	f.openMany(150, func(id uint64) bool { return id == 2 })
 	got := f.openMany(600, nil)
 	if got[2] < 100 {
-		t.Errorf("%d of 600 openings at an upstream that is back, want 100 at least", got[2])
+		t.Errorf("%d of 600 flows at a recovered upstream, want at least 100", got[2])
 	}
 }
 
-// TestAllSilent checks that openings are still offered where no upstream answers: the
-// fault may be on this side.
+// TestAllSilent checks that SYNs are still spread over the upstreams if none responds: the
+// fault may be at this VM.
 func TestAllSilent(t *testing.T) {
 	f := newFixture(t)
 	all := func(uint64) bool { return true }
 	if got := f.openMany(100, all); len(got) < 3 {
-		t.Errorf("openings %v, want them spread", got)
+		t.Errorf("SYNs %v, want them spread", got)
 	}
 }
 
-// TestCopyMoves sends an opening again whose upstream answers nobody.
-func TestCopyMoves(t *testing.T) {
+// TestRetransmittedSYNMoves checks that a retransmitted SYN goes to another upstream if the
+// first one answers no client.
+func TestRetransmittedSYNMoves(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
 	first := c.upstream
-	f.wait(again)
+	f.wait(retransmitAfter)
 	v := c.open()
 	wantVerdict(t, v, sparcookie.ToUpstream, sparcookie.Moved)
 	if v.ID == first {
-		t.Error("the copy went to the silent upstream")
+		t.Error("the retransmitted SYN went to the silent upstream")
 	}
 }
 
-// TestCopyStays sends an opening again whose upstream has answered another since: one
-// packet was lost, and a second upstream would answer the same opening.
-func TestCopyStays(t *testing.T) {
+// TestRetransmittedSYNStays checks that a retransmitted SYN goes to the same upstream if
+// that has answered another client since the first one. Then a packet was lost, and a
+// second upstream would also answer the SYN.
+func TestRetransmittedSYNStays(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
 	first := c.upstream
-	for other := (*caller)(nil); other == nil || other.upstream != first; {
-		other = f.caller(watch)
+	for other := (*client)(nil); other == nil || other.upstream != first; {
+		other = f.newClient(bookingAddr)
 		other.open()
-		other.answered()
+		other.ackHandshake()
 	}
-	f.wait(again)
+	f.wait(retransmitAfter)
 	v := c.open()
 	wantVerdict(t, v, sparcookie.ToUpstream, sparcookie.Repeated)
 	if v.ID != first {
-		t.Errorf("the copy went to %d, want %d", v.ID, first)
+		t.Errorf("the retransmitted SYN went to %d, want %d", v.ID, first)
 	}
 }
 
-// TestMuteUpstream is the pattern of a server that this VM does not reach, whether it is
-// lost or others reach it: no flow is ended, and requests go through other VMs as well.
-func TestMuteUpstream(t *testing.T) {
+// TestUnresponsiveUpstream covers a server that this VM cannot reach, whether it has failed
+// or other VMs reach it. No flow is reset, and requests also go through other VMs.
+func TestUnresponsiveUpstream(t *testing.T) {
 	f := newFixture(t)
-	var flows []*caller
+	var flows []*client
 	for len(flows) < 8 {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		c.open()
-		c.answered()
+		c.ackHandshake()
 		if c.upstream == 1 {
 			flows = append(flows, c)
 		}
 	}
 	for _, c := range flows {
-		wantVerdict(t, c.ask(), sparcookie.ToUpstream, sparcookie.Carried)
+		wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Carried)
 	}
 	opened := false
-	for !opened { // an opening that upstream 1 leaves unanswered
-		c := f.caller(watch)
+	for !opened { // a SYN that upstream 1 does not answer
+		c := f.newClient(bookingAddr)
 		c.open()
 		if opened = c.upstream == 1; !opened {
-			c.answered()
+			c.ackHandshake()
 		}
 	}
-	f.wait(again)
-	helpers := map[string]bool{}
+	f.wait(retransmitAfter)
+	relays := map[string]bool{}
 	for _, c := range flows {
-		v := c.ask()
+		v := c.request()
 		wantVerdict(t, v, sparcookie.ToUpstream, sparcookie.Assisted)
 		if v.ID != 1 {
 			t.Errorf("went to upstream %d", v.ID)
 		}
-		helpers[v.Helper.String()] = true
+		relays[v.Helper.String()] = true
 	}
-	if len(helpers) < 2 || helpers["10.9.0.1:1"] {
-		t.Errorf("helped by %v, want several other VMs", helpers)
+	if len(relays) < 2 || relays["10.9.0.1:1"] {
+		t.Errorf("sent through %v, want several other VMs", relays)
 	}
-	// A request that comes now need not wait to be repeated.
-	idle := &caller{f: f, s: flows[0].s, upstream: 1}
+	// A new request goes through another VM without waiting for a retransmission.
+	idle := &client{f: f, s: flows[0].s, upstream: 1}
 	idle.s.From += 5000
-	wantVerdict(t, idle.ask(), sparcookie.ToUpstream, sparcookie.Assisted)
+	wantVerdict(t, idle.request(), sparcookie.ToUpstream, sparcookie.Assisted)
 }
 
-// TestRepeatsTakeOtherHelpers repeats a request whose upstream answers nobody.
-func TestRepeatsTakeOtherHelpers(t *testing.T) {
+// TestRetransmitsUseOtherRelays retransmits a request whose upstream answers no client.
+func TestRetransmitsUseOtherRelays(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(holds)
+	c := f.newClient(bookingAddr2)
 	c.open()
-	c.answered()
-	c.ask()
-	helpers := map[string]bool{}
+	c.ackHandshake()
+	c.request()
+	relays := map[string]bool{}
 	for range 4 {
-		f.wait(again)
-		helpers[c.ask().Helper.String()] = true
+		f.wait(retransmitAfter)
+		relays[c.request().Helper.String()] = true
 	}
-	if len(helpers) < 3 {
-		t.Errorf("four repeats went through %v, want three VMs at least", helpers)
+	if len(relays) < 3 {
+		t.Errorf("four retransmissions went through %v, want at least three VMs", relays)
 	}
 }
 
-// TestRelayedPackets checks what a VM does for another one.
+// TestRelayedPackets checks the verdicts on packets received from another VM.
 func TestRelayedPackets(t *testing.T) {
 	f := newFixture(t)
-	c := f.caller(watch)
+	c := f.newClient(bookingAddr)
 	c.open()
 	relayed := c.s
 	relayed.Relayed = true
@@ -225,39 +229,40 @@
 	wantVerdict(t, f.forward(relayed), sparcookie.Drop, sparcookie.UnknownCookie)
 }
 
-// TestBusyUpstreamIsNotMute repeats requests of an upstream that answers openings: it
+// TestSlowUpstreamKeepsItsFlows retransmits requests to an upstream that answers SYNs: it
 // is slow, and its flows stay.
-func TestBusyUpstreamIsNotMute(t *testing.T) {
+func TestSlowUpstreamKeepsItsFlows(t *testing.T) {
 	f := newFixture(t)
-	var flows []*caller
+	var flows []*client
 	for range 30 {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		c.open()
-		c.answered()
-		c.ask()
+		c.ackHandshake()
+		c.request()
 		flows = append(flows, c)
 	}
-	f.wait(again)
+	f.wait(retransmitAfter)
 	for _, c := range flows {
-		if v := c.ask(); v.Action != sparcookie.ToUpstream {
+		if v := c.request(); v.Action != sparcookie.ToUpstream {
 			t.Fatalf("flow of a slow upstream: %v %v", v.Action, v.Cause)
 		}
 	}
 }
 
-// TestChanceDoesNotSpill is the pattern of a usual day: some requests come together by
-// chance, and a flow sent elsewhere would cross a cut for the rest of its life.
-func TestChanceDoesNotSpill(t *testing.T) {
+// TestCoincidingRequestsDoNotSpill covers normal load, where some requests coincide by
+// chance. A flow placed in another failure domain would cross a network partition between
+// the domains for the rest of its lifetime.
+func TestCoincidingRequestsDoNotSpill(t *testing.T) {
 	f := newFixture(t)
-	for range 200 { // 100 requests a second in pairs, a third of what 6 slots do
+	for range 200 { // 100 requests per second in pairs, a third of the capacity of 6 slots
 		for range 2 {
-			c := f.caller(watch)
+			c := f.newClient(bookingAddr)
 			c.open()
 			c.s.Seq, c.s.Ack = 101, 500
 			c.f.forward(c.s)
-			c.ask()
+			c.request()
 			if domain := f.domainOf(c.upstream); domain != "north" {
-				t.Fatalf("an opening went to %s", domain)
+				t.Fatalf("a new flow went to %s", domain)
 			}
 		}
 		f.wait(20 * time.Millisecond)
@@ -270,6 +275,6 @@
 	f.apply()
 	got := f.openMany(1000, nil)
 	if got[50] < 200 || got[50] > 300 {
-		t.Errorf("%d of 1000 openings at the service with a share of 25%%", got[50])
+		t.Errorf("%d of 1000 flows at the service with a share of 25%%", got[50])
 	}
 }
--- a/internal/route/sparcookie/relay.go
+++ b/internal/route/sparcookie/relay.go
@@ -6,58 +6,59 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// muteStrikes is the number of flows that repeat in vain, beside an unanswered opening,
-// from which on every request to an upstream goes through another VM as well.
-const muteStrikes = 2
+// unresponsiveFlows is the number of flows with unanswered retransmissions, beside an
+// unanswered SYN, from which on every request to an upstream is also sent through
+// another VM.
+const unresponsiveFlows = 2
 
-// helper is a VM that may reach an upstream which this one does not reach.
-type helper struct {
-	name   uint64 // rank
+// relay is another VM, which may reach an upstream that this VM cannot reach.
+type relay struct {
+	rankID uint64 // name for rendezvous hashing
 	domain string
 	data   sparflow.Endpoint
 }
 
-// helper returns the VM to send a packet through as well, or 0. That is for requests
-// that nothing answers: their upstream may be lost, or only the path to it from here. A
-// flow is not ended for it, since the upstream may serve others. Each repeat takes the
-// next VM, those of the failure domain of the upstream first.
-func (e *Engine) helper(f *flow, s Segment, seen sight) sparflow.Endpoint {
+// pickRelay returns the address of the VM through which the packet is also sent, or 0. It
+// is for requests without a response: their upstream may have failed, or only the path
+// from this VM to it. The flow is not reset, since the upstream may serve other clients.
+// Each retransmission takes the next VM, those of the failure domain of the upstream first.
+func (e *Engine) pickRelay(f *flow, s Segment, obs observation) sparflow.Endpoint {
 	u := f.upstream
-	if s.Size == 0 || !e.mute(u) && !(seen.repeated && u.heard <= f.asked) {
+	if s.Size == 0 || !e.unresponsive(u) && !(obs.retransmitted && u.lastResponse <= f.requestedAt) {
 		return 0
 	}
-	var near, all []helper
-	for _, h := range e.helpers {
-		if h.domain == u.Domain {
-			near = append(near, h)
+	var candidates, all []relay
+	for _, r := range e.relays {
+		if r.domain == u.Domain {
+			candidates = append(candidates, r)
 		}
-		all = append(all, h)
+		all = append(all, r)
 	}
-	if len(near) == 0 || f.helped >= len(near) {
-		near = all
+	if len(candidates) == 0 || f.relayCopies >= len(candidates) {
+		candidates = all
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return 0
 	}
-	names := make([]uint64, len(near))
-	for i, h := range near {
-		names[i] = h.name
+	ids := make([]uint64, len(candidates))
+	for i, r := range candidates {
+		ids[i] = r.rankID
 	}
-	order := sparrank.Order(int(uint32(s.From)), names)
-	chosen := near[order[f.helped%len(order)]]
-	f.helped++
+	order := sparrank.Order(int(uint32(s.From)), ids)
+	chosen := candidates[order[f.relayCopies%len(order)]]
+	f.relayCopies++
 	return chosen.data
 }
 
-// mute reports whether an upstream is likely out of reach from here: it has left an
-// opening unanswered, which no load delays, and several flows repeat in vain.
-func (e *Engine) mute(u *upstream) bool {
-	return u.strikes >= muteStrikes && u.pending > 0 && e.now-u.pending >= copyAfter
+// unresponsive reports whether u is probably unreachable from this VM: it has not answered
+// a SYN, which load does not delay, and several flows have unanswered retransmissions.
+func (e *Engine) unresponsive(u *upstream) bool {
+	return u.unansweredFlows >= unresponsiveFlows && u.pendingSince > 0 && e.now-u.pendingSince >= minRetransmitAge
 }
 
-// relayed decides on a packet that another VM has sent here. It is no evidence: the
-// answers to it are seen at the other VM.
-func (e *Engine) relayed(s Segment) Verdict {
+// forwardRelayed returns the verdict on a packet received from another VM. The packet does
+// not update flow records, since the other VM sees the responses to it.
+func (e *Engine) forwardRelayed(s Segment) Verdict {
 	u := e.cookies[s.Cookie]
 	if u == nil || s.Kind == Opening {
 		return e.drop(UnknownCookie)
@@ -65,17 +66,17 @@
 	return e.send(Relayed, u)
 }
 
-// applyHelpers takes the VMs that may help.
-func (e *Engine) applyHelpers(vms []sparconfig.VM) {
-	e.siblings, e.helpers = 0, nil
+// applyVMs replaces the VMs through which packets may be sent.
+func (e *Engine) applyVMs(vms []sparconfig.VM) {
+	e.domainVMs, e.relays = 0, nil
 	for _, vm := range vms {
 		if vm.Domain == e.domain {
-			e.siblings++
+			e.domainVMs++
 		}
 		at, err := sparflow.ParseEndpoint(vm.Data)
 		if err != nil || vm.Name == e.name {
-			continue // an entry that names no address helps nobody
+			continue // an entry without an address cannot be used
 		}
-		e.helpers = append(e.helpers, helper{name: sparrank.Name(vm.Name), domain: vm.Domain, data: at})
+		e.relays = append(e.relays, relay{rankID: sparrank.Name(vm.Name), domain: vm.Domain, data: at})
 	}
 }
--- a/internal/route/sparcookie/slope_test.go
+++ b/internal/route/sparcookie/scale_test.go
@@ -11,16 +11,16 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparroster"
 )
 
-// flowBytes bounds the memory of a flow on record: 32,000 flows of a VM of the fleet in
-// a twentieth of its 256 MB.
+// flowBytes is the memory limit of a flow on record: the 32,000 flows of a VM may take a
+// twentieth of its 256 MB.
 const flowBytes = 400
 
-// fleet is a fixture with upstreams and routes of a size.
+// fleet returns a fixture with the numbers of upstreams and routes.
 func fleet(upstreams, routes int) *fixture {
 	f := &fixture{t: &testing.T{}, engine: sparcookie.New("vm-1", "domain-0", 1<<20), now: time.Second}
 	for n := range upstreams {
 		services := routes/2 + 1
-		u := upstream(uint64(n+1), fmt.Sprintf("domain-%d", n/services%11))
+		u := newUpstream(uint64(n+1), fmt.Sprintf("domain-%d", n/services%11))
 		u.Service = fmt.Sprintf("service-%d", n%services)
 		f.upstreams = append(f.upstreams, u)
 	}
@@ -43,10 +43,10 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for range flows {
-		c := f.caller(watch)
+		c := f.newClient(bookingAddr)
 		c.open()
-		c.answered()
-		f.now -= rtt // all at one moment, so that none ends
+		c.ackHandshake()
+		f.now -= rtt // all at the same time, so that none expires
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -58,7 +58,7 @@
 	runtime.KeepAlive(f)
 }
 
-// BenchmarkApply puts settings of several sizes in force, up to those of the fleet.
+// BenchmarkApply applies settings of several sizes, up to those of a whole deployment.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []struct{ upstreams, routes int }{{18, 115}, {150, 245}, {7800, 1300}} {
 		b.Run(fmt.Sprintf("%d upstreams, %d routes", size.upstreams, size.routes), func(b *testing.B) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkOpen places openings among 6 upstreams of a service, and among 700.
+// BenchmarkOpen opens flows at a service with 6 upstreams, and at one with 709.
 func BenchmarkOpen(b *testing.B) {
 	for _, size := range []struct{ upstreams, routes int }{{12, 2}, {7800, 20}} {
 		b.Run(fmt.Sprintf("%d of a service", size.upstreams/(size.routes/2+1)), func(b *testing.B) {
@@ -80,7 +80,7 @@
 			to := sparflow.MakeEndpoint(0xc6120000, 443)
 			b.ReportAllocs()
 			for b.Loop() {
-				c := f.caller(to)
+				c := f.newClient(to)
 				c.open()
 				c.s.Kind = sparcookie.Resetting
 				f.forward(c.s)
--- a/internal/route/sparcookie/table.go
+++ b/internal/route/sparcookie/table.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidates is the number of cookies that an upstream may have. Two of 7,800
-// upstreams share their first one with a chance of 0.7%.
-const candidates = 4
+// maxCookies is the number of cookies among which an upstream gets one. With 7,800
+// upstreams the probability that two share their first cookie is 0.7%.
+const maxCookies = 4
 
-// Cookie names an upstream in the packets of a flow. 0 means none.
+// Cookie identifies an upstream in the packets of a flow. 0 means none.
 type Cookie uint32
 
-// candidate returns the nth cookie of the upstream with an id, never 0.
-func candidate(id uint64, n int) Cookie {
+// candidateCookie returns the nth cookie of the upstream with the ID. It is never 0.
+func candidateCookie(id uint64, n int) Cookie {
 	var b [9]byte
 	binary.BigEndian.PutUint64(b[:], id)
 	b[8] = byte(n)
@@ -27,18 +27,19 @@
 	return c
 }
 
-// assign gives each upstream its cookie. Of two with the same one, the upstream that
-// is listed and started first keeps it, the other takes its next. The order follows
-// from the roster, so all VMs that know both assign alike. A cookie in use stays
-// valid when the assignment changes, unless another upstream needs it.
-func (e *Engine) assign() {
+// assignCookies assigns a cookie to each upstream. On a collision, an upstream in the
+// roster takes precedence over a removed one, then the one that started first; the other
+// takes its next cookie. This order follows from the roster, so all VMs that know both
+// upstreams assign the same cookies. The previous cookie of an upstream stays valid after
+// a change, unless another upstream needs it.
+func (e *Engine) assignCookies() {
 	order := make([]*upstream, 0, len(e.upstreams))
 	for _, u := range e.upstreams {
 		order = append(order, u)
 	}
 	slices.SortFunc(order, func(a, b *upstream) int {
-		if a.gone != b.gone {
-			if a.gone {
+		if a.removed != b.removed {
+			if a.removed {
 				return 1
 			}
 			return -1
@@ -47,18 +48,18 @@
 	})
 	clear(e.cookies)
 	for _, u := range order {
-		before := u.cookie
-		u.cookie = e.claim(u)
-		if before != 0 && e.cookies[before] == nil {
-			e.cookies[before] = u
+		prev := u.cookie
+		u.cookie = e.pickCookie(u)
+		if prev != 0 && e.cookies[prev] == nil {
+			e.cookies[prev] = u
 		}
 	}
 }
 
-// claim returns the first cookie of u that no upstream before it has.
-func (e *Engine) claim(u *upstream) Cookie {
-	for n := range candidates {
-		c := candidate(u.ID, n)
+// pickCookie returns the first cookie of u that is not taken, or 0.
+func (e *Engine) pickCookie(u *upstream) Cookie {
+	for n := range maxCookies {
+		c := candidateCookie(u.ID, n)
 		if e.cookies[c] == nil {
 			e.cookies[c] = u
 			return c
--- a/internal/route/sparcookie/verdict.go
+++ b/internal/route/sparcookie/verdict.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// Drop discards the packet; its sender sends it again or gives up.
+	// Drop discards the packet. Its sender retransmits it or gives up.
 	Drop Action = iota
 	// ToUpstream sends the packet to At, addressed to ID.
 	ToUpstream
-	// Reset ends the flow towards its caller.
+	// Reset sends a RST to the client.
 	Reset
 )
 
 const (
-	// Data is a packet within a flow.
+	// Data is a packet without SYN, FIN or RST.
 	Data Kind = iota
 	// Opening is a SYN.
 	Opening
@@ -30,87 +30,88 @@
 // Causes of a verdict.
 const (
 	Carried       Cause = iota // a packet of an open flow
-	Placed                     // an opening, at the best upstream
-	Repeated                   // an opening again, its upstream answers others
-	Moved                      // an opening again, away from a silent upstream
-	NoRoute                    // no route at the address
-	RouteDropped               // the route was taken away while the flow was open
-	NoUpstream                 // no upstream takes openings
-	UnknownCookie              // the cookie names no upstream known here
-	WrongService               // the cookie names an upstream that the route never listed
-	UpstreamGone               // the upstream has left and does not answer
-	Assisted                   // a packet of an open flow, sent through another VM as well
-	Relayed                    // a packet that another VM has sent here
-	NotFresh                   // the settings are too old to refuse by
-	causes
+	Placed                     // a SYN, sent to the best upstream
+	Repeated                   // a retransmitted SYN, sent to the same upstream
+	Moved                      // a retransmitted SYN, moved from an upstream that does not respond
+	NoRoute                    // no route for the address
+	RouteDropped               // the route was removed while the flow was open
+	NoUpstream                 // no upstream takes new flows
+	UnknownCookie              // the cookie belongs to no upstream known to this VM
+	WrongService               // the cookie belongs to an upstream of a service that the route never named
+	UpstreamGone               // the upstream was removed and does not respond
+	Assisted                   // a packet of an open flow, also sent through another VM
+	Relayed                    // a packet received from another VM
+	NotFresh                   // the settings are too old to refuse a flow
+	causeCount
 )
 
 type (
 	// Action is what to do with a packet.
 	Action uint8
-	// Kind is what a packet means to its flow.
+	// Kind is the kind of a TCP packet, by its flags.
 	Kind uint8
-	// Cause says why.
+	// Cause is the reason of a verdict.
 	Cause uint8
 
-	// Segment is the part of a caller's packet that a decision needs.
+	// Segment is the part of a client's packet that a verdict depends on.
 	Segment struct {
-		From   sparflow.Endpoint // the caller
-		To     sparflow.Endpoint // the address that it connected to
+		From   sparflow.Endpoint // the client
+		To     sparflow.Endpoint // the address that the client connected to
 		Kind   Kind
 		Seq    uint32
-		Ack    uint32 // of an opening: how often it was sent before
+		Ack    uint32 // in a SYN: the number of earlier transmissions
 		Size   int    // bytes of data
 		Cookie Cookie
 
-		Relayed bool // another VM has sent it here
+		Relayed bool // received from another VM
 	}
 
-	// Verdict is the decision on one packet. It is a plain struct, so that the
-	// busiest path allocates nothing.
+	// Verdict is the decision on one packet. It is a plain struct, so that the hot
+	// path does not allocate.
 	Verdict struct {
 		Action Action
 		Cause  Cause
 		ID     uint64
 		At     sparflow.Endpoint
 		Cookie Cookie
-		Helper sparflow.Endpoint // with Assisted, the VM to send a copy through
-		Silent time.Duration     // since the upstream last answered anyone seen here
-
-		Answered   bool          // the packet acknowledges an answer
-		First      bool          // the one to the opening
-		Unanswered bool          // the packet repeats data that nothing has answered
-		Lost       bool          // the caller gives up a request that nothing has answered
-		Waited     time.Duration // since the request or opening was first seen
+		Helper sparflow.Endpoint // with Assisted, the VM to send a copy to
+		Silent time.Duration     // since the last response of the upstream to any client of this VM
+
+		Answered   bool          // the packet acknowledges a response
+		First      bool          // the response is the SYN-ACK
+		Unanswered bool          // the packet retransmits data of an unanswered request
+		Lost       bool          // the client abandons an unanswered request
+		Waited     time.Duration // since the first packet of the request, or the first SYN
 	}
 
-	// Event is a change of what this VM believes. It is a sealed interface:
-	// UpstreamListed, UpstreamLeft or UpstreamJudged.
+	// Event is a change of an upstream. It is a sealed interface: UpstreamListed,
+	// UpstreamLeft or UpstreamJudged.
 	Event interface {
 		event()
 	}
 
-	// UpstreamListed says that an upstream joined or changed in the roster.
+	// UpstreamListed reports an upstream that is new or back in the roster, has
+	// restarted, or has begun or stopped draining.
 	UpstreamListed struct {
 		Upstream sparroster.Upstream
 	}
 
-	// UpstreamLeft says that an upstream is not in the roster any more.
+	// UpstreamLeft reports an upstream that was removed from the roster.
 	UpstreamLeft struct {
 		Upstream sparroster.Upstream
 	}
 
-	// UpstreamJudged says what flows show about an upstream.
+	// UpstreamJudged reports a change in the health of an upstream.
 	UpstreamJudged struct {
 		Upstream sparroster.Upstream
 		State    string
-		Silent   time.Duration // since it last answered anyone
+		Silent   time.Duration // since its last response to any client of this VM
 	}
 
-	// Stats counts since the start.
+	// Stats holds counts since the start.
 	Stats struct {
-		Verdicts [causes]uint64
-		Lost     uint64 // requests that callers gave up unanswered
+		Verdicts [causeCount]uint64
+		Lost     uint64 // requests that clients gave up unanswered
 	}
 )
 
@@ -118,30 +119,30 @@
 func (UpstreamLeft) event()   {}
 func (UpstreamJudged) event() {}
 
-var causeNames = [causes]string{
+var causeNames = [causeCount]string{
 	"carried", "placed", "repeated", "moved", "no-route", "route-dropped", "no-upstream", "unknown-cookie",
 	"wrong-service", "upstream-gone", "assisted", "relayed", "not-fresh",
 }
 
-// String returns the cause as it stands in logs and metrics.
+// String returns the cause as written in logs and metrics.
 func (c Cause) String() string { return causeNames[c] }
 
 // Causes returns every cause.
 func Causes() []Cause {
-	list := make([]Cause, causes)
+	list := make([]Cause, causeCount)
 	for c := range list {
 		list[c] = Cause(c)
 	}
 	return list
 }
 
-// String returns the action as it stands in logs.
+// String returns the action as written in logs.
 func (a Action) String() string { return [...]string{"drop", "forward", "reset"}[a] }
 
 // Stats returns the counts so far.
 func (e *Engine) Stats() Stats { return e.stats }
 
-// Events returns and clears the changes of belief.
+// Events returns the events since the last call.
 func (e *Engine) Events() []Event {
 	events := e.events
 	e.events = nil
@@ -160,13 +161,13 @@
 func (e *Engine) reset(cause Cause, u *upstream) Verdict {
 	v := Verdict{Action: Reset, Cause: cause}
 	if u != nil {
-		v.ID, v.At, v.Silent = u.ID, u.At, e.now-u.heard
+		v.ID, v.At, v.Silent = u.ID, u.At, e.now-u.lastResponse
 	}
 	return e.verdict(v)
 }
 
 func (e *Engine) send(cause Cause, u *upstream) Verdict {
 	return e.verdict(Verdict{
-		Action: ToUpstream, Cause: cause, ID: u.ID, At: u.At, Cookie: u.cookie, Silent: e.now - u.heard,
+		Action: ToUpstream, Cause: cause, ID: u.ID, At: u.At, Cookie: u.cookie, Silent: e.now - u.lastResponse,
 	})
 }
