--- a/internal/route/sparcookie/place.go
+++ b/internal/route/sparcookie/place.go
@@ -128,7 +128,7 @@
 	switch {
 	case u.Draining || u.removed:
 		return tierNone
-	case !u.health.Opens(), u.health.OnTrial() && e.now-u.lastSYN < probeInterval:
+	case !u.health.Opens(), u.health.Probing() && e.now-u.lastSYN < probeInterval:
 		return tierUnhealthy
 	case u.Domain == e.domain:
 		return tierLocal
--- a/internal/route/sparhealth/health.go
+++ b/internal/route/sparhealth/health.go
@@ -1,13 +1,14 @@
-// Package sparhealth judges an upstream by what its flows show.
+// Package sparhealth tracks the health of upstreams by passive health checking.
 //
-// Health and load endpoints are not asked: they lag and mislead. A Health is the
-// state of one upstream as one VM sees it; its zero value serves:
+// Health follows from the flows of an upstream alone. Health and load endpoints are not
+// queried, since their answers lag and mislead. A Health is the state of one upstream as
+// seen by one VM. The zero Health is the state serving:
 //
 //	var h sparhealth.Health
-//	for range sparhealth.FailuresInRow {
+//	for range sparhealth.FailureThreshold {
 //		h.Failed(now)
 //	}
-//	h.Opens() // false until RetryAfter has passed, then one opening tries it
+//	h.Opens() // false until BaseEjection has passed, then one new flow probes it
 package sparhealth
 
 import (
@@ -18,103 +19,106 @@
 )
 
 const (
-	// FailuresInRow is the number of failed openings after which an upstream fails.
-	FailuresInRow = 3
-	// RetryAfter is how long a failing upstream gets no openings. Each trial that fails
-	// doubles it, up to RetryAtMost: every VM tries for itself, at the cost of a caller.
-	RetryAfter  = 2 * time.Second
-	RetryAtMost = 8 * time.Second
-
-	// rampStart is the share of a warming upstream at its first moment.
-	rampStart = 0.1
-
-	opensMark = sparchart.Mark("opens")
-	rampsMark = sparchart.Mark("ramps")
-	onceMark  = sparchart.Mark("once")
+	// FailureThreshold is the number of consecutive failures that ejects an upstream.
+	FailureThreshold = 3
+	// BaseEjection is how long an ejected upstream gets no new flows. Each failed probe
+	// doubles it, up to MaxEjection: every VM probes on its own, and each failed probe
+	// delays a client.
+	BaseEjection = 2 * time.Second
+	MaxEjection  = 8 * time.Second
+
+	// warmingStart is the weight of an upstream at the start of its warm-up.
+	warmingStart = 0.1
+
+	openMark    = sparchart.Mark("opens")
+	warmingMark = sparchart.Mark("ramps")
+	probeMark   = sparchart.Mark("once")
 )
 
 var (
 	//go:embed upstream.chart
-	text []byte
+	chartText []byte
 
-	chart = sparchart.MustParse(text)
+	chart = sparchart.MustParse(chartText)
 )
 
-// Health is what flows show about one upstream. Its methods that take an event
-// report whether the state changed.
+// Health is the health of one upstream. Answered, Failed, Ejected and Tick report
+// whether the state has changed.
 type Health struct {
-	state    sparchart.State
-	failures int
-	trials   int // in a row that failed
-	since    time.Duration
+	state        sparchart.State
+	failures     int
+	failedProbes int // consecutive
+	since        time.Duration
 }
 
-// Joined returns the health of an upstream that warms up from now on.
+// Joined returns the health of an upstream whose warm-up starts now.
 func Joined(now time.Duration) Health {
 	return Health{state: chart.Next(chart.Start(), "joined"), since: now}
 }
 
-// State returns the name of the state, for log lines and events.
+// State returns the name of the state as written in logs and events.
 func (h *Health) State() string { return string(h.current()) }
 
-// Opens reports whether the flows do not speak against new openings.
-func (h *Health) Opens() bool { return chart.Has(h.current(), opensMark) }
+// Opens reports whether the upstream may get new flows.
+func (h *Health) Opens() bool { return chart.Has(h.current(), openMark) }
 
-// OnTrial reports whether one opening at a time may try the upstream.
-func (h *Health) OnTrial() bool { return chart.Has(h.current(), onceMark) }
+// Probing reports whether the upstream is half-open: it may get one new flow at a time.
+func (h *Health) Probing() bool { return chart.Has(h.current(), probeMark) }
 
-// Answered notes that the upstream has answered.
+// Answered records a response of the upstream.
 func (h *Health) Answered(now time.Duration) (changed bool) {
-	h.failures, h.trials = 0, 0
+	h.failures, h.failedProbes = 0, 0
 	return h.change("answered", now)
 }
 
-// Failed notes that an opening was refused or not answered.
+// Failed records a new flow or request that was refused or not answered.
 func (h *Health) Failed(now time.Duration) (changed bool) {
 	h.failures++
-	if h.failures < FailuresInRow && !h.OnTrial() {
+	if h.failures < FailureThreshold && !h.Probing() {
 		return false
 	}
 	return h.fail(now)
 }
 
-// Ejected takes the upstream out at once, on evidence of more than one flow.
+// Ejected ejects the upstream at once. It is for evidence from more than one flow.
 func (h *Health) Ejected(now time.Duration) (changed bool) {
-	h.failures = FailuresInRow
+	h.failures = FailureThreshold
 	return h.fail(now)
 }
 
 func (h *Health) fail(now time.Duration) (changed bool) {
-	if h.OnTrial() {
-		h.trials++
+	if h.Probing() {
+		h.failedProbes++
 	}
 	return h.change("failed", now)
 }
 
-// retryAfter returns how long the upstream gets no openings now.
-func (h *Health) retryAfter() time.Duration {
-	const doublings = 2 // from RetryAfter to RetryAtMost
-	return RetryAfter << min(h.trials, doublings)
+// ejectionTime returns how long the present ejection lasts.
+func (h *Health) ejectionTime() time.Duration {
+	const doublings = 2 // from BaseEjection to MaxEjection
+	return BaseEjection << min(h.failedProbes, doublings)
 }
 
-// Tick does what time makes due. warm is how long an upstream warms up.
+// Tick ends a warm-up or an ejection that is over at now. warm is the duration of the
+// warm-up.
 func (h *Health) Tick(now, warm time.Duration) (changed bool) {
 	switch {
-	case chart.Has(h.current(), rampsMark) && now-h.since >= warm:
+	case chart.Has(h.current(), warmingMark) && now-h.since >= warm:
 		return h.change("warmed", now)
-	case !h.Opens() && now-h.since >= h.retryAfter():
+	case !h.Opens() && now-h.since >= h.ejectionTime():
 		return h.change("retry", now)
 	}
 	return false
 }
 
-// Weight returns the share of new flows, 1 unless the upstream is warming.
+// Weight returns the weight of the upstream for new flows. It grows from warmingStart to 1
+// during the warm-up and is 1 otherwise.
 func (h *Health) Weight(now, warm time.Duration) float64 {
-	if !chart.Has(h.current(), rampsMark) {
+	if !chart.Has(h.current(), warmingMark) {
 		return 1
 	}
 	done := float64(now-h.since) / float64(warm)
-	return min(1, rampStart+(1-rampStart)*done)
+	return min(1, warmingStart+(1-warmingStart)*done)
 }
 
 func (h *Health) current() sparchart.State {
@@ -125,9 +129,9 @@
 }
 
 func (h *Health) change(event sparchart.Event, now time.Duration) bool {
-	before := h.current()
-	next := chart.Next(before, event)
-	if next == before {
+	prev := h.current()
+	next := chart.Next(prev, event)
+	if next == prev {
 		return false
 	}
 	h.state, h.since = next, now
--- a/internal/route/sparhealth/health_test.go
+++ b/internal/route/sparhealth/health_test.go
@@ -8,17 +8,17 @@
 	"github.com/oleanderspar/oleanderspar/internal/route/sparhealth"
 )
 
-// ExampleHealth takes an upstream out and tries it again.
+// ExampleHealth ejects an upstream and probes it.
 func ExampleHealth() {
 	var h sparhealth.Health
 	now := time.Second
-	for range sparhealth.FailuresInRow {
+	for range sparhealth.FailureThreshold {
 		h.Failed(now)
 	}
 	fmt.Println(h.State(), h.Opens())
-	h.Tick(now+sparhealth.RetryAfter, 0)
+	h.Tick(now+sparhealth.BaseEjection, 0)
 	fmt.Println(h.State(), h.Opens())
-	h.Answered(now + sparhealth.RetryAfter)
+	h.Answered(now + sparhealth.BaseEjection)
 	fmt.Println(h.State(), h.Opens())
 	// Output:
 	// failing false
@@ -26,33 +26,33 @@
 	// serving true
 }
 
-func TestTrialFailsAtOnce(t *testing.T) {
+func TestProbeFailsAtOnce(t *testing.T) {
 	var h sparhealth.Health
 	h.Ejected(0)
-	h.Tick(sparhealth.RetryAfter, 0)
-	if !h.Failed(sparhealth.RetryAfter) || h.Opens() {
-		t.Errorf("state %s after a failed trial", h.State())
+	h.Tick(sparhealth.BaseEjection, 0)
+	if !h.Failed(sparhealth.BaseEjection) || h.Opens() {
+		t.Errorf("state %s after a failed probe", h.State())
 	}
 }
 
-func TestAnswersEndARowOfFailures(t *testing.T) {
+func TestResponseEndsConsecutiveFailures(t *testing.T) {
 	var h sparhealth.Health
-	for range 10 * sparhealth.FailuresInRow {
-		for range sparhealth.FailuresInRow - 1 {
+	for range 10 * sparhealth.FailureThreshold {
+		for range sparhealth.FailureThreshold - 1 {
 			h.Failed(0)
 		}
 		h.Answered(0)
 	}
 	if !h.Opens() {
-		t.Errorf("state %s though no %d failures came in a row", h.State(), sparhealth.FailuresInRow)
+		t.Errorf("state %s without %d consecutive failures", h.State(), sparhealth.FailureThreshold)
 	}
 }
 
-func TestWarmingRamps(t *testing.T) {
+func TestWarmUpWeight(t *testing.T) {
 	h := sparhealth.Joined(0)
 	half := h.Weight(time.Second, 2*time.Second)
 	if half <= 0.1 || half >= 1 {
-		t.Errorf("weight %v half way through the warm-up", half)
+		t.Errorf("weight %v in the middle of the warm-up", half)
 	}
 	h.Tick(2*time.Second, 2*time.Second)
 	if got := h.Weight(2*time.Second, 2*time.Second); got != 1 {
@@ -60,26 +60,26 @@
 	}
 }
 
-// TestTrialsGrowRare is the pattern of a fleet beside upstreams that are gone while the
-// platform is away: each VM tries each of them, so trials must not add up.
-func TestTrialsGrowRare(t *testing.T) {
+// TestProbeBackoff covers upstreams that have stopped during a platform outage, so that they
+// stay in the settings. Each VM probes each of them, so probes have to become rare.
+func TestProbeBackoff(t *testing.T) {
 	const step = 50 * time.Millisecond
 	var h sparhealth.Health
 	h.Ejected(0)
-	trials := 0
+	probes := 0
 	for now := step; now <= 30*time.Second; now += step {
-		if h.Tick(now, 0); h.OnTrial() {
-			trials++
+		if h.Tick(now, 0); h.Probing() {
+			probes++
 			h.Failed(now)
 		}
 	}
-	if trials > 5 {
-		t.Errorf("%d trials in 30 s, want at most 5: after 2, 4, 8, 8 and 8 s", trials)
+	if probes > 5 {
+		t.Errorf("%d probes in 30 s, want at most 5: after 2, 4, 8, 8 and 8 s", probes)
 	}
 	h.Tick(time.Minute, 0)
 	h.Answered(time.Minute)
 	h.Ejected(time.Minute)
-	if h.Tick(time.Minute+sparhealth.RetryAfter, 0); !h.OnTrial() {
-		t.Error("an upstream that has answered is not tried as soon as another")
+	if h.Tick(time.Minute+sparhealth.BaseEjection, 0); !h.Probing() {
+		t.Error("a response has not reset the ejection time")
 	}
 }
