--- a/internal/settings/sparconfig/carrier_test.go
+++ b/internal/settings/sparconfig/carrier_test.go
@@ -28,18 +28,18 @@
 func TestBadFiles(t *testing.T) {
 	with := func(text, field string) string { return strings.Replace(text, "{", "{"+field+", ", 1) }
 	cases := map[string]struct{ text, names string }{
-		"unknown carrier":        {strings.Replace(cookieFile, `"cookie"`, `"pigeon"`, 1), "carrier"},
-		"no address to ask":      {strings.Replace(cookieFile, `"ready": "127.0.0.1:3", `, "", 1), "ready"},
-		"secret with cookie":     {with(cookieFile, `"secret": "00"`), "secret"},
-		"ready with geneve":      {with(geneveFile, `"ready": "127.0.0.1:9"`), "ready"},
-		"in force too soon":      {with(cookieFile, `"force": 10`), "force"},
-		"in force too late":      {with(cookieFile, `"force": 3600000`), "force"},
-		"grace below its least":  {with(cookieFile, `"grace": -1`), "grace"},
-		"unknown field":          {with(cookieFile, `"colour": "red"`), "colour"},
-		"seed that is a name":    {strings.Replace(cookieFile, "127.0.0.1:5", "seed:5", 1), "seeds[0]"},
-		"platform without port":  {strings.Replace(cookieFile, "127.0.0.1:4", "127.0.0.1", 1), "platform"},
-		"geneve without fabric":  {strings.Replace(geneveFile, `"fabric": "127.0.0.1:3", `, "", 1), "fabric"},
-		"geneve, a short secret": {strings.Replace(geneveFile, "000102", "", 1), "secret"},
+		"unknown carrier":       {strings.Replace(cookieFile, `"cookie"`, `"pigeon"`, 1), "carrier"},
+		"no readiness address":  {strings.Replace(cookieFile, `"ready": "127.0.0.1:3", `, "", 1), "ready"},
+		"secret with cookie":    {with(cookieFile, `"secret": "00"`), "secret"},
+		"ready with geneve":     {with(geneveFile, `"ready": "127.0.0.1:9"`), "ready"},
+		"force below minimum":   {with(cookieFile, `"force": 10`), "force"},
+		"force above maximum":   {with(cookieFile, `"force": 3600000`), "force"},
+		"grace below minimum":   {with(cookieFile, `"grace": -1`), "grace"},
+		"unknown field":         {with(cookieFile, `"colour": "red"`), "colour"},
+		"seed with a host name": {strings.Replace(cookieFile, "127.0.0.1:5", "seed:5", 1), "seeds[0]"},
+		"platform without port": {strings.Replace(cookieFile, "127.0.0.1:4", "127.0.0.1", 1), "platform"},
+		"geneve without fabric": {strings.Replace(geneveFile, `"fabric": "127.0.0.1:3", `, "", 1), "fabric"},
+		"secret too short":      {strings.Replace(geneveFile, "000102", "", 1), "secret"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if v, err := sparconfig.ParseVM("vm-1", []byte(text)); err == nil {
-				t.Errorf("taken as %+v", v)
+				t.Errorf("accepted as %+v", v)
 			}
 		})
 	}
--- a/internal/settings/sparconfig/config_test.go
+++ b/internal/settings/sparconfig/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-const good = `{
+const goodDocument = `{
 	// the booking desk
 	"address": "198.51.100.1:443", "proto": "tcp",
 	"upstreams": [{"at": "10.0.0.1:80"}, {"at": "10.0.0.2:80", "state": "drain", "until": 1800000000}],
@@ -18,7 +18,7 @@
 
 // ExampleDocument_WithDrain drains one upstream of a document.
 func ExampleDocument_WithDrain() {
-	d, err := sparconfig.ParseDocument([]byte(good))
+	d, err := sparconfig.ParseDocument([]byte(goodDocument))
 	if err != nil {
 		panic(err)
 	}
@@ -27,15 +27,15 @@
 	// Output: true drain 1800000000
 }
 
-// ExampleRegistry_With shows that an old entry loses.
+// ExampleSnapshot_With shows that an entry with a lower revision has no effect.
 func ExampleSnapshot_With() {
-	claim := func(at string) sparregistry.Entry {
+	claimEntry := func(at string) sparregistry.Entry {
 		e, _ := sparflow.ParseEndpoint(at)
 		return sparregistry.Entry{Key: sparconfig.ClaimKey(sparflow.TCP, e), Value: []byte("kalk/booking"), Revision: 1}
 	}
-	r := sparregistry.Registry{}.With(claim("198.51.100.1:443"), claim("10.0.0.1:80"), claim("10.0.0.2:80"))
+	r := sparregistry.Registry{}.With(claimEntry("198.51.100.1:443"), claimEntry("10.0.0.1:80"), claimEntry("10.0.0.2:80"))
 	key := sparconfig.ServiceKey("kalk", "booking")
-	r = r.With(sparregistry.Entry{Key: key, Value: []byte(good), Revision: 7})
+	r = r.With(sparregistry.Entry{Key: key, Value: []byte(goodDocument), Revision: 7})
 	r = r.With(sparregistry.Entry{Key: key, Value: []byte("{}"), Revision: 5})
 	s := sparconfig.Snapshot{}.With(r)
 	fmt.Println(s.Service("kalk/booking").Revision, len(s.Problems))
@@ -51,7 +51,7 @@
 		})
 	}
 	key := sparconfig.ServiceKey("kalk", "booking")
-	r := claims.With(sparregistry.Entry{Key: key, Value: []byte(good), Revision: 7})
+	r := claims.With(sparregistry.Entry{Key: key, Value: []byte(goodDocument), Revision: 7})
 	before := sparconfig.Snapshot{}.With(r)
 	after := before.With(r.With(sparregistry.Entry{Key: key, Value: []byte(`{"adress": 1}`), Revision: 9}))
 	if s := after.Service("kalk/booking"); s == nil || s.Revision != 7 {
@@ -63,7 +63,7 @@
 }
 
 func FuzzParseDocument(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(goodDocument))
 	f.Add([]byte(`{"upstreams": [{"at": ":"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, err := sparconfig.ParseDocument(text)
@@ -71,7 +71,7 @@
 			return
 		}
 		if _, err := sparconfig.ParseDocument(d.Text()); err != nil {
-			t.Errorf("a good document does not survive printing: %v", err)
+			t.Errorf("a valid document is refused after Text: %v", err)
 		}
 	})
 }
--- a/internal/settings/sparconfig/service.go
+++ b/internal/settings/sparconfig/service.go
@@ -1,21 +1,21 @@
-// Package sparconfig reads settings: the file of one VM and the service documents
-// that teams keep in the platform.
+// Package sparconfig reads settings: the settings file of a VM and the service documents
+// that teams store on the platform.
 //
-// A service document is JSON with comments. Times are seconds:
+// A service document is JSON with comments. Durations are in seconds:
 //
 //	{
-//		"address": "198.51.100.1:443", // what callers connect to
+//		"address": "198.51.100.1:443", // what clients connect to
 //		"proto": "tcp",
 //		"upstreams": [
 //			{"at": "10.1.0.1:8080"},
 //			{"at": "10.1.0.2:8080", "state": "drain", "until": 1790000000},
 //		],
-//		"spread": 0.05, // an upstream may hold 5% more than the mean
+//		"spread": 0.05, // an upstream may have 5% more flows than the mean
 //	}
 //
-// Snapshot turns all documents of a registry into the services in force. It is an
-// immutable value: a document that breaks a rule is refused and the last good
-// one stays.
+// A Snapshot holds the services in force, read from all documents of a registry. It is an
+// immutable value. A document that breaks a rule is refused, and the last valid one
+// stays in force.
 package sparconfig
 
 import (
@@ -32,30 +32,30 @@
 )
 
 const (
-	// Serve is the state of an upstream that takes openings.
+	// Serve is the state of an upstream that takes new flows.
 	Serve = "serve"
-	// Drain is the state of an upstream that keeps its flows and takes no openings.
+	// Drain is the state of an upstream that keeps its flows and takes no new ones.
 	Drain = "drain"
 
-	// MaxWrites is the number of last writers that a document names.
+	// MaxWrites is the number of latest writes whose IDs a document keeps.
 	MaxWrites = 32
-	// DefaultSpread is the share above the mean load that an upstream may hold.
+	// DefaultSpread is the fraction by which an upstream may exceed the mean load.
 	DefaultSpread = 0.05
 	// DefaultDrain is how long a draining upstream keeps its flows, in seconds.
 	DefaultDrain = 4 * 3600
-	// DefaultSilent is how long a silent TCP flow is taken to be open, in seconds.
+	// DefaultSilent is how long a TCP flow without packets counts as open, in seconds.
 	DefaultSilent = 2 * 3600
-	// DefaultIdle is the idle time that ends a UDP flow, in seconds.
+	// DefaultIdle is the idle timeout of a UDP flow, in seconds.
 	DefaultIdle = 60
 
-	maxSpread  = 1.0
-	minSpread  = 0.001
-	maxSeconds = 7 * 24 * 3600
-	maxUpper   = 1024
+	maxSpread    = 1.0
+	minSpread    = 0.001
+	maxSeconds   = 7 * 24 * 3600
+	maxUpstreams = 1024
 
-	// TeamPrefix begins the platform keys of service documents.
+	// TeamPrefix is the prefix of the platform keys of service documents.
 	TeamPrefix = "team/"
-	// ClaimPrefix begins the platform keys of claims on addresses.
+	// ClaimPrefix is the prefix of the platform keys of claims on addresses.
 	ClaimPrefix = "claim/"
 
 	servicesPart = "services"
@@ -65,7 +65,7 @@
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 type (
-	// Document is one service as its team writes it.
+	// Document is the settings of one service as written by its team.
 	Document struct {
 		Address   string   `json:"address"`
 		Proto     string   `json:"proto"`
@@ -83,10 +83,10 @@
 	Member struct {
 		At    string `json:"at"`
 		State string `json:"state,omitempty"`
-		Until int64  `json:"until,omitempty"` // Unix seconds at which a drain ends
+		Until int64  `json:"until,omitempty"` // end of the drain in Unix seconds
 	}
 
-	// Service is a checked document.
+	// Service is the settings of one service, from a valid document.
 	Service struct {
 		Name      string // team/service
 		Revision  uint64
@@ -113,7 +113,7 @@
 	return TeamPrefix + team + "/" + servicesPart + "/" + service
 }
 
-// ServiceName splits a platform key into "team/service".
+// ServiceName returns the "team/service" of the platform key of a service document.
 func ServiceName(key string) (name string, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 || parts[0]+"/" != TeamPrefix || parts[2] != servicesPart {
@@ -130,7 +130,8 @@
 	return ClaimPrefix + proto.String() + "/" + at.String()
 }
 
-// CheckName returns an error unless name can be a team, service or VM name.
+// CheckName returns an error unless name is valid for a team, service, VM or failure
+// domain.
 func CheckName(name string) error {
 	if !namePattern.MatchString(name) {
 		return errors.Errorf("name %q: expected 1 to 63 of a-z, 0-9 and -, not beginning with -", name)
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// ParseDocument reads and checks a service document. Errors name the line where
-// the text itself is at fault, the path and what was expected.
+// ParseDocument parses and checks a service document. Errors name the line of a syntax
+// error, or the path of a field, and what was expected.
 func ParseDocument(text []byte) (d Document, err error) {
 	if err := decode(text, &d); err != nil {
 		return Document{}, err
@@ -150,13 +151,13 @@
 	return d, nil
 }
 
-// ReadDocument reads a document as it is held, without checking its rules.
+// ReadDocument parses a stored document without checking its rules.
 func ReadDocument(text []byte) (d Document, err error) {
 	err = decode(text, &d)
 	return d, err
 }
 
-// Service checks d and returns it in the form that VMs use.
+// Service checks d and returns the service that it describes.
 func (d Document) Service(name string, revision uint64) (s Service, err error) {
 	s = Service{Name: name, Revision: revision}
 	if s.Address, err = sparflow.ParseEndpoint(d.Address); err != nil {
@@ -165,7 +166,7 @@
 	if s.Proto, err = sparflow.ParseProto(d.Proto); err != nil {
 		return Service{}, errors.Annotate(err, "proto")
 	}
-	if s.Upstreams, err = d.members(s.Address); err != nil {
+	if s.Upstreams, err = d.parseUpstreams(s.Address); err != nil {
 		return Service{}, err
 	}
 	if s.Spread, err = d.spread(); err != nil {
@@ -189,7 +190,7 @@
 	return s, nil
 }
 
-// Claims returns the platform keys of every address that d uses.
+// Claims returns the platform keys of the claims on all addresses that d uses.
 func (d Document) Claims() []string {
 	proto, err := sparflow.ParseProto(d.Proto)
 	if err != nil {
@@ -208,7 +209,7 @@
 	return keys
 }
 
-// WithWrite returns d with the id of one more writer, the oldest dropped.
+// WithWrite returns d with the ID of one more write. Beyond MaxWrites it drops the oldest.
 func (d Document) WithWrite(id string) Document {
 	writes := append(append([]string{}, d.Writes...), id)
 	if len(writes) > MaxWrites {
@@ -218,7 +219,7 @@
 	return d
 }
 
-// Wrote reports whether the write with id is part of d.
+// Wrote reports whether d contains the write with the ID.
 func (d Document) Wrote(id string) bool {
 	for _, w := range d.Writes {
 		if w == id {
@@ -228,18 +229,18 @@
 	return false
 }
 
-// WithDrain returns d with the upstream at draining until the time given, or
-// false where d has no such upstream.
+// WithDrain returns d with the upstream at the address draining until the time given. The
+// result is false if d has no such upstream.
 func (d Document) WithDrain(at string, until time.Time) (Document, bool) {
-	members := append([]Member{}, d.Upstreams...)
+	upstreams := append([]Member{}, d.Upstreams...)
 	found := false
-	for i, m := range members {
+	for i, m := range upstreams {
 		if m.At == at {
-			members[i] = Member{At: at, State: Drain, Until: until.Unix()}
+			upstreams[i] = Member{At: at, State: Drain, Until: until.Unix()}
 			found = true
 		}
 	}
-	d.Upstreams = members
+	d.Upstreams = upstreams
 	return d, found
 }
 
@@ -247,23 +248,23 @@
 func (d Document) Text() []byte {
 	text, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
-		panic(err) // a Document holds only plain values
+		panic(err) // a Document has only plain values
 	}
 	return append(text, '\n')
 }
 
-// Opens reports whether u takes openings.
+// Opens reports whether u takes new flows.
 func (u Upstream) Opens() bool { return !u.Draining }
 
-// Gone reports whether the drain of u has ended at wall time now.
+// Gone reports whether the drain of u has ended at the wall time now.
 func (u Upstream) Gone(now time.Time) bool {
 	return u.Draining && !now.Before(u.Until)
 }
 
-func (d Document) members(service sparflow.Endpoint) (list []Upstream, err error) {
+func (d Document) parseUpstreams(service sparflow.Endpoint) (upstreams []Upstream, err error) {
 	seen := map[sparflow.Endpoint]bool{service: true}
-	if len(d.Upstreams) > maxUpper {
-		return nil, errors.Errorf("upstreams: %d given, expected at most %d", len(d.Upstreams), maxUpper)
+	if len(d.Upstreams) > maxUpstreams {
+		return nil, errors.Errorf("upstreams: %d given, expected at most %d", len(d.Upstreams), maxUpstreams)
 	}
 	for i, m := range d.Upstreams {
 		at, err := sparflow.ParseEndpoint(m.At)
@@ -285,9 +286,9 @@
 		default:
 			return nil, errors.Errorf("upstreams[%d].state: %q, expected serve or drain", i, m.State)
 		}
-		list = append(list, u)
+		upstreams = append(upstreams, u)
 	}
-	return list, nil
+	return upstreams, nil
 }
 
 func (d Document) spread() (float64, error) {
@@ -310,7 +311,7 @@
 	return time.Duration(value) * time.Second, nil
 }
 
-// decode reads JSON with comments into to and refuses unknown fields.
+// decode parses JSON with comments into to. It refuses unknown fields.
 func decode(text []byte, to any) error {
 	standard, err := hujson.Standardize(text)
 	if err != nil {
--- a/internal/settings/sparconfig/snapshot.go
+++ b/internal/settings/sparconfig/snapshot.go
@@ -16,17 +16,17 @@
 		Digest   uint64
 		Problems []Problem
 
-		services map[string]*Service
-		accept   map[binding]*Service
-		answer   map[binding]*Service
+		services   map[string]*Service
+		byAddress  map[binding]*Service
+		byUpstream map[binding]*Service
 	}
 
-	// Problem is a document that was refused.
+	// Problem is a refused document.
 	Problem struct {
 		Service  string
 		Revision uint64
 		Cause    string
-		Kept     uint64 // revision of the last good document, 0 where there is none
+		Kept     uint64 // revision of the last valid document, 0 if there is none
 	}
 
 	binding struct {
@@ -35,23 +35,23 @@
 	}
 )
 
-// With returns the snapshot that r asks for. A document that breaks a rule leaves
-// the service as it is in s, unless its addresses have been claimed by another.
+// With returns the snapshot of the documents in r. A document that breaks a rule leaves
+// the service as it is in s, unless another service has claimed one of its addresses.
 func (s Snapshot) With(r sparregistry.Registry) Snapshot {
 	next := Snapshot{
 		Revision: r.Revision(), Digest: r.Digest(),
-		services: map[string]*Service{}, accept: map[binding]*Service{}, answer: map[binding]*Service{},
+		services: map[string]*Service{}, byAddress: map[binding]*Service{}, byUpstream: map[binding]*Service{},
 	}
 	for _, e := range r.Under(TeamPrefix) {
 		name, ok := ServiceName(e.Key)
 		if !ok {
 			continue
 		}
-		service, err := checkEntry(r, name, e)
+		service, err := parseService(r, name, e)
 		if err != nil {
 			problem := Problem{Service: name, Revision: e.Revision, Cause: err.Error()}
 			service = s.services[name]
-			if service != nil && claimed(r, service) != nil {
+			if service != nil && checkClaims(r, service) != nil {
 				service = nil
 			}
 			if service != nil {
@@ -70,14 +70,14 @@
 // Service returns the service named team/service.
 func (s Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Accepts returns the service that callers reach at an address.
+// Accepts returns the service that clients reach at an address.
 func (s Snapshot) Accepts(proto sparflow.Proto, at sparflow.Endpoint) *Service {
-	return s.accept[binding{proto, at}]
+	return s.byAddress[binding{proto, at}]
 }
 
-// Answers returns the service that the upstream at an address belongs to.
+// Answers returns the service of the upstream at an address.
 func (s Snapshot) Answers(proto sparflow.Proto, at sparflow.Endpoint) *Service {
-	return s.answer[binding{proto, at}]
+	return s.byUpstream[binding{proto, at}]
 }
 
 // Upstream returns the upstream of s at an address.
@@ -90,8 +90,8 @@
 	return Upstream{}, false
 }
 
-// Carries reports whether the upstream at an address may still carry flows at
-// wall time now.
+// Carries reports whether the upstream at an address may still have flows at the wall
+// time now.
 func (s *Service) Carries(at sparflow.Endpoint, now time.Time) bool {
 	u, ok := s.Upstream(at)
 	return ok && !u.Gone(now)
@@ -102,13 +102,15 @@
 		return
 	}
 	s.services[service.Name] = service
-	s.accept[binding{service.Proto, service.Address}] = service
+	s.byAddress[binding{service.Proto, service.Address}] = service
 	for _, u := range service.Upstreams {
-		s.answer[binding{service.Proto, u.At}] = service
+		s.byUpstream[binding{service.Proto, u.At}] = service
 	}
 }
 
-func checkEntry(r sparregistry.Registry, name string, e sparregistry.Entry) (service *Service, err error) {
+// parseService returns the service of the document in e, or nil if the document is marked
+// as removed.
+func parseService(r sparregistry.Registry, name string, e sparregistry.Entry) (service *Service, err error) {
 	var d Document
 	if err := decode(e.Value, &d); err != nil {
 		return nil, err
@@ -120,14 +122,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := claimed(r, &checked); err != nil {
+	if err := checkClaims(r, &checked); err != nil {
 		return nil, err
 	}
 	return &checked, nil
 }
 
-// claimed returns an error unless every address of s is claimed by s.
-func claimed(r sparregistry.Registry, s *Service) error {
+// checkClaims returns an error unless every address of s is claimed by s.
+func checkClaims(r sparregistry.Registry, s *Service) error {
 	addresses := []sparflow.Endpoint{s.Address}
 	for _, u := range s.Upstreams {
 		addresses = append(addresses, u.At)
--- a/internal/settings/sparconfig/vm.go
+++ b/internal/settings/sparconfig/vm.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// Live is the platform's word for a VM that runs.
+	// Live is the state of a running VM on the platform.
 	Live = "live"
-	// Leaving is the platform's word for a VM that is about to stop.
+	// Leaving is the state on the platform of a VM that is about to stop.
 	Leaving = "leaving"
 )
 
 type (
-	// File is the settings file of one entry VM. Fields said to be of one carrier are
-	// required with it and refused with the other.
+	// File is the settings file of one entry VM. Fields marked geneve or cookie are refused
+	// with the other carrier. With their own carrier those without a default are required.
 	File struct {
-		Carrier  string   `json:"carrier,omitempty"` // geneve or cookie: how the fabric hands over packets
-		Name     string   `json:"name"`              // unique among the VMs
+		Carrier  string   `json:"carrier,omitempty"` // geneve or cookie: how the fabric delivers packets
+		Name     string   `json:"name"`              // unique among VMs
 		Domain   string   `json:"domain"`            // failure domain
 		Data     string   `json:"data"`              // UDP address for packets
-		Control  string   `json:"control"`           // UDP and TCP address for other VMs, operators and metrics
-		Fabric   string   `json:"fabric"`            // UDP address that packets go back to; geneve
+		Control  string   `json:"control"`           // UDP and TCP address for peers, operators and metrics
+		Fabric   string   `json:"fabric"`            // UDP address to which packets are returned; geneve
 		Platform string   `json:"platform"`          // HTTP address of the key-value service
 		Secret   string   `json:"secret"`            // 32 hexadecimal digits, the same on all VMs; geneve
-		Seeds    []string `json:"seeds,omitempty"`   // control addresses to learn from while the platform is down
+		Seeds    []string `json:"seeds,omitempty"`   // control addresses of VMs to query while the platform is down
 		Log      string   `json:"log,omitempty"`     // text or json
-		Flows    int      `json:"flows,omitempty"`   // flows that the cache holds at most
-		Ready    string   `json:"ready,omitempty"`   // HTTP address that the fabric asks whether to send packets; cookie
+		Flows    int      `json:"flows,omitempty"`   // limit of cached flows
+		Ready    string   `json:"ready,omitempty"`   // HTTP address of the fabric's readiness probe; cookie
 		Force    int64    `json:"force,omitempty"`   // milliseconds within which settings must be in force everywhere; cookie
-		Grace    int64    `json:"grace,omitempty"`   // seconds from SIGTERM to the kill; cookie
+		Grace    int64    `json:"grace,omitempty"`   // seconds from SIGTERM to SIGKILL; cookie
 	}
 
-	// Carrier says how the fabric hands over packets, and so how a VM finds the upstream
-	// of a flow again. It is a sealed interface: GeneveCarrier or CookieCarrier.
+	// Carrier is how the fabric delivers packets, which determines how a VM finds the
+	// upstream of a flow. It is a sealed interface: GeneveCarrier or CookieCarrier.
 	Carrier interface {
 		carrier()
 	}
 
-	// GeneveCarrier wraps packets; owners among the VMs know the flows.
+	// GeneveCarrier encapsulates packets. VMs that own slots keep the flow records.
 	GeneveCarrier struct {
-		Fabric string // UDP address that packets go back to
+		Fabric string // UDP address to which packets are returned
 	}
 
-	// CookieCarrier lets both ends of a flow echo a cookie that names its upstream.
+	// CookieCarrier makes both ends of a flow echo a cookie that identifies the upstream.
 	CookieCarrier struct {
-		Ready string        // HTTP address that the fabric asks whether to send packets
+		Ready string        // HTTP address of the fabric's readiness probe
 		Force time.Duration // within which settings must be in force everywhere
-		Grace time.Duration // from SIGTERM to the kill
+		Grace time.Duration // from SIGTERM to SIGKILL
 	}
 
-	// VM is one entry of the platform's list of VMs.
+	// VM is one entry of the list of VMs on the platform.
 	VM struct {
 		Name    string `json:"-"`
 		Domain  string `json:"domain"`
@@ -69,17 +69,18 @@
 )
 
 const (
-	// DefaultFlows is the number of flows that the cache of a VM holds.
+	// DefaultFlows is the limit of cached flows of a VM.
 	DefaultFlows = 400_000
 
-	// Geneve is the carrier of a fabric that wraps packets and leaves flows to owners.
+	// Geneve is the carrier that encapsulates packets and keeps flow records at owners.
 	Geneve = "geneve"
-	// Cookie is the carrier of a fabric whose ends echo a cookie.
+	// Cookie is the carrier that makes both ends of a flow echo a cookie.
 	Cookie = "cookie"
 
-	// DefaultForce is the time, in milliseconds, within which settings are in force.
+	// DefaultForce is the time, in milliseconds, within which settings must be in force
+	// everywhere.
 	DefaultForce = 3000
-	// DefaultGrace is the time, in seconds, from SIGTERM to the kill.
+	// DefaultGrace is the time, in seconds, from SIGTERM to SIGKILL.
 	DefaultGrace = 6
 
 	secretDigits = 32
@@ -91,7 +92,7 @@
 func (GeneveCarrier) carrier() {}
 func (CookieCarrier) carrier() {}
 
-// Wire returns the carrier of the VM with its settings.
+// Wire returns the carrier of the VM and its settings.
 func (f File) Wire() Carrier {
 	if f.Carrier == Cookie {
 		return CookieCarrier{
@@ -101,7 +102,7 @@
 	return GeneveCarrier{Fabric: f.Fabric}
 }
 
-// ReadFile reads and checks a settings file. The error names the file.
+// ReadFile reads and checks the settings file at path. Errors name the file.
 func ReadFile(path string) (f File, err error) {
 	defer func() {
 		if err != nil {
@@ -115,7 +116,7 @@
 	return ParseFile(text)
 }
 
-// ParseFile reads and checks the text of a settings file.
+// ParseFile parses and checks the text of a settings file.
 func ParseFile(text []byte) (f File, err error) {
 	if err := decode(text, &f); err != nil {
 		return File{}, err
@@ -124,14 +125,14 @@
 	return f, f.check()
 }
 
-// Keys returns the two halves of the secret, which the carrier geneve has.
+// Keys returns the two halves of the secret. Only the carrier geneve has one.
 func (f File) Keys() (k0, k1 uint64) {
 	k0, _ = strconv.ParseUint(f.Secret[:secretDigits/2], 16, 64)
 	k1, _ = strconv.ParseUint(f.Secret[secretDigits/2:], 16, 64)
 	return k0, k1
 }
 
-// VM returns the VM as the platform's list would name it.
+// VM returns the entry of the VM in the list on the platform.
 func (f File) VM() VM {
 	return VM{Name: f.Name, Domain: f.Domain, Data: f.Data, Control: f.Control, State: Live}
 }
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// checkCarrier checks the fields that belong to one carrier.
+// checkCarrier checks the carrier and the fields that belong to one carrier only.
 func (f File) checkCarrier() error {
 	switch f.Carrier {
 	case Geneve:
@@ -245,12 +246,12 @@
 func (v VM) Text() []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a VM holds only strings
+		panic(err) // a VM has only strings
 	}
 	return text
 }
 
-// ParseVM reads the entry of the VM called name.
+// ParseVM parses the entry of the VM called name.
 func ParseVM(name string, text []byte) (v VM, err error) {
 	if err := decode(text, &v); err != nil {
 		return VM{}, err
@@ -262,7 +263,7 @@
 	return v, v.Check()
 }
 
-// Check returns an error unless the addresses of v can be used.
+// Check returns an error unless the addresses of v are valid.
 func (v VM) Check() error {
 	if err := checkAddress(v.Data); err != nil {
 		return errors.Annotate(err, "data")
@@ -270,7 +271,7 @@
 	return errors.Annotate(checkAddress(v.Control), "control")
 }
 
-// VMs returns the platform's list of VMs. Entries that cannot be read are left out.
+// VMs returns the VMs in r. It leaves out entries that cannot be parsed.
 func VMs(r sparregistry.Registry) []VM {
 	var list []VM
 	for _, e := range r.Under(vmPrefix) {
