--- a/internal/flow/sparflow/cache.go
+++ b/internal/flow/sparflow/cache.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// CacheAge bounds how long an unused entry of a Cache is believed. It stays
-	// below the 60 s that a caller waits before it uses a port again, so that an
-	// entry of a closed flow is gone before a new flow takes its tuple.
+	// CacheAge is the longest time that an unused entry of a Cache stays valid. It is
+	// below the 60 s that a client waits before it reuses a port, so that the entry of
+	// a closed flow expires before a new flow has the same tuple.
 	CacheAge = 40 * time.Second
 
-	generationAge = CacheAge / 2
+	rotateInterval = CacheAge / 2
 )
 
-// Cache maps keys to upstreams. It keeps two generations and moves an entry to
-// the young one on use; the old generation is dropped every CacheAge/2 or when the
-// young one is full. The zero Cache is empty and holds nothing; use NewCache.
+// Cache maps keys to upstreams. It has two generations of entries. An entry moves to the
+// young generation on use. The old generation is dropped every CacheAge/2, or when the
+// young one is full. The zero Cache cannot be used; call NewCache.
 type Cache struct {
 	young, old map[Key]Endpoint
 	limit      int
-	turned     time.Duration
+	rotatedAt  time.Duration
 }
 
 // NewCache returns a cache of at most 2*limit flows.
@@ -25,51 +25,51 @@
 	return &Cache{young: map[Key]Endpoint{}, old: map[Key]Endpoint{}, limit: limit}
 }
 
-// Get returns the upstream last seen for key. now is monotonic time.
-func (c *Cache) Get(key Key, now time.Duration) (home Endpoint, ok bool) {
-	c.turn(now)
-	if home, ok = c.young[key]; ok {
-		return home, true
+// Get returns the upstream last put for key. now is monotonic time.
+func (c *Cache) Get(key Key, now time.Duration) (upstream Endpoint, ok bool) {
+	c.rotateIfDue(now)
+	if upstream, ok = c.young[key]; ok {
+		return upstream, true
 	}
-	if home, ok = c.old[key]; ok {
-		c.Put(key, home, now)
+	if upstream, ok = c.old[key]; ok {
+		c.Put(key, upstream, now)
 	}
-	return home, ok
+	return upstream, ok
 }
 
-// Put remembers the upstream of key.
-func (c *Cache) Put(key Key, home Endpoint, now time.Duration) {
-	c.turn(now)
+// Put sets the upstream of key.
+func (c *Cache) Put(key Key, upstream Endpoint, now time.Duration) {
+	c.rotateIfDue(now)
 	if len(c.young) >= c.limit {
-		c.swap(now)
+		c.rotate(now)
 	}
-	c.young[key] = home
+	c.young[key] = upstream
 }
 
-// Forget drops key.
+// Forget deletes key.
 func (c *Cache) Forget(key Key) {
 	delete(c.young, key)
 	delete(c.old, key)
 }
 
-// Clear drops every entry.
+// Clear deletes all entries.
 func (c *Cache) Clear() {
 	clear(c.young)
 	clear(c.old)
 }
 
-func (c *Cache) turn(now time.Duration) {
-	if now-c.turned < generationAge {
+func (c *Cache) rotateIfDue(now time.Duration) {
+	if now-c.rotatedAt < rotateInterval {
 		return
 	}
-	if now-c.turned >= CacheAge {
+	if now-c.rotatedAt >= CacheAge {
 		clear(c.young)
 	}
-	c.swap(now)
+	c.rotate(now)
 }
 
-func (c *Cache) swap(now time.Duration) {
+func (c *Cache) rotate(now time.Duration) {
 	c.young, c.old = c.old, c.young
 	clear(c.young)
-	c.turned = now
+	c.rotatedAt = now
 }
--- a/internal/flow/sparflow/flow.go
+++ b/internal/flow/sparflow/flow.go
@@ -1,17 +1,17 @@
-// Package sparflow names flows and remembers where they go.
+// Package sparflow identifies flows and caches their upstreams.
 //
-// A flow is one TCP connection or UDP exchange, seen as a five-tuple. Every VM
-// of a deployment computes the same 64-bit Key for it, because the hash is
-// keyed with a secret that all settings files share:
+// A flow is one TCP connection or UDP exchange, given by its five-tuple. Every VM of a
+// deployment computes the same 64-bit Key for it: the hash is keyed with a secret that
+// is the same in all settings files.
 //
 //	hasher := sparflow.NewHasher(1, 2)
-//	caller, _ := sparflow.ParseEndpoint("203.0.113.9:40000")
+//	client, _ := sparflow.ParseEndpoint("203.0.113.9:40000")
 //	service, _ := sparflow.ParseEndpoint("198.51.100.1:443")
-//	key := hasher.Key(sparflow.Tuple{Caller: caller, Service: service, Proto: sparflow.TCP})
+//	key := hasher.Key(sparflow.Tuple{Caller: client, Service: service, Proto: sparflow.TCP})
 //	slot := key.Slot() // the hash slot of the service, 0 to Slots-1
 //
-// A Cache keeps the upstream of flows that passed by lately. It is a hint that
-// saves a redirect; the owner of the flow's slot holds the authoritative record.
+// A Cache holds the upstreams of recently used flows. It is a hint that saves a redirect;
+// the owner of the slot of a flow has the authoritative record.
 package sparflow
 
 import (
@@ -43,7 +43,7 @@
 	// The zero Endpoint means none.
 	Endpoint uint64
 
-	// Tuple is a flow as its caller sees it.
+	// Tuple is the five-tuple of a flow: client, service address and protocol.
 	Tuple struct {
 		Caller  Endpoint
 		Service Endpoint
@@ -53,7 +53,7 @@
 	// Key identifies a flow. Equal tuples have equal keys on every VM.
 	Key uint64
 
-	// Hasher computes keys with a secret that the deployment shares.
+	// Hasher computes keys with the secret of the deployment.
 	Hasher struct {
 		k0, k1 uint64
 	}
@@ -64,7 +64,7 @@
 	return Hasher{k0: k0, k1: k1}
 }
 
-// Key returns the key of t. It never returns 0.
+// Key returns the key of t. It is never 0.
 func (h Hasher) Key(t Tuple) Key {
 	var b [tupleBytes]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(t.Caller)|uint64(t.Proto)<<48)
@@ -83,12 +83,12 @@
 	return int(k % Slots)
 }
 
-// MakeEndpoint packs an IPv4 address, big endian, and a port.
+// MakeEndpoint returns the Endpoint of a big-endian IPv4 address and a port.
 func MakeEndpoint(ip uint32, port uint16) Endpoint {
 	return Endpoint(uint64(ip)<<16 | uint64(port))
 }
 
-// ParseEndpoint reads "a.b.c.d:port". The port must not be 0.
+// ParseEndpoint parses "a.b.c.d:port". The port must not be 0.
 func ParseEndpoint(s string) (e Endpoint, err error) {
 	defer func() {
 		if err != nil {
@@ -105,16 +105,15 @@
 	return FromAddrPort(ap), nil
 }
 
-// FromAddrPort packs ap, which must hold an IPv4 address.
+// FromAddrPort returns the Endpoint of ap, which must have an IPv4 address.
 func FromAddrPort(ap netip.AddrPort) Endpoint {
 	ip := ap.Addr().As4()
 	return MakeEndpoint(binary.BigEndian.Uint32(ip[:]), ap.Port())
 }
 
-// IP returns the address, big endian.
+// IP returns the address in big-endian order.
 func (e Endpoint) IP() uint32 { return uint32(e >> 16) }
 
-// Port returns the port.
 func (e Endpoint) Port() uint16 { return uint16(e) }
 
 // String returns "a.b.c.d:port".
@@ -134,7 +133,7 @@
 	return fmt.Sprintf("proto-%d", uint8(p))
 }
 
-// ParseProto reads "tcp" or "udp".
+// ParseProto parses "tcp" or "udp".
 func ParseProto(s string) (p Proto, err error) {
 	switch s {
 	case "tcp":
--- a/internal/flow/sparrank/rank.go
+++ b/internal/flow/sparrank/rank.go
@@ -1,7 +1,7 @@
 // Package sparrank ranks candidates for a hash slot by rendezvous hashing.
 //
-// The order is a pure function of the names, so every VM computes the same one,
-// and a candidate that comes or goes moves only its own share of the slots:
+// The order depends only on the names, so every VM computes the same one. Adding or
+// removing a candidate moves only the slots of that candidate:
 //
 //	names := []uint64{sparrank.Name("a"), sparrank.Name("b"), sparrank.Name("c")}
 //	order := sparrank.Order(17, names) // indices into names, best first
@@ -14,17 +14,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// golden is 2^64 divided by the golden ratio, the increment of splitmix64.
-const golden = 0x9E3779B97F4A7C15
+// splitmixIncrement is 2^64 divided by the golden ratio, the increment of splitmix64.
+const splitmixIncrement = 0x9E3779B97F4A7C15
 
-// Name hashes the name of a candidate.
+// Name returns the hash of the name of a candidate.
 func Name(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
 
-// Weight returns the weight of a candidate for a slot; the highest weight ranks first.
+// Weight returns the weight of a candidate for a slot. The highest weight ranks first.
 func Weight(slot int, name uint64) uint64 {
-	x := name ^ (uint64(slot)+1)*golden
+	x := name ^ (uint64(slot)+1)*splitmixIncrement
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
 	x = (x ^ x>>27) * 0x94D049BB133111EB
 	return x ^ x>>31
@@ -33,11 +33,11 @@
 // Best returns the index of the first candidate for slot that keep accepts, or -1.
 func Best(slot int, names []uint64, keep func(i int) bool) int {
 	best := -1
-	var top uint64
+	var topWeight uint64
 	for i, name := range names {
 		w := Weight(slot, name)
-		if (best < 0 || w > top) && keep(i) {
-			best, top = i, w
+		if (best < 0 || w > topWeight) && keep(i) {
+			best, topWeight = i, w
 		}
 	}
 	return best
@@ -55,21 +55,20 @@
 	return order
 }
 
-// Share assigns each of slots to one of names such that no candidate gets more
-// than its even share, rounded up. It walks the slots in order and gives each to
-// its best ranked candidate that still has room, so that a candidate that comes
-// or goes moves little more than its own share. It returns indices into names, or
-// nil without candidates.
+// Share assigns each slot to one of names so that no candidate gets more than an equal
+// share, rounded up. It assigns the slots in order, each to its best ranked candidate
+// below that quota, so that adding or removing a candidate moves little more than the
+// share of that candidate. It returns indices into names, or nil if names is empty.
 func Share(slots int, names []uint64) []int {
 	if len(names) == 0 {
 		return nil
 	}
-	room := (slots + len(names) - 1) / len(names)
-	held := make([]int, len(names))
+	quota := (slots + len(names) - 1) / len(names)
+	counts := make([]int, len(names))
 	shares := make([]int, slots)
 	for slot := range shares {
-		best := Best(slot, names, func(i int) bool { return held[i] < room })
-		held[best]++
+		best := Best(slot, names, func(i int) bool { return counts[i] < quota })
+		counts[best]++
 		shares[slot] = best
 	}
 	return shares
