--- a/internal/state/sparchart/chart.go
+++ b/internal/state/sparchart/chart.go
@@ -1,7 +1,7 @@
-// Package sparchart interprets state charts kept in embedded files.
+// Package sparchart interprets state charts from embedded files.
 //
-// A chart names states, the marks that hold in each and the state that each
-// event leads to. Events that a state does not list leave it unchanged:
+// A chart defines states, the marks of each state and the transitions for events. An
+// event without a transition leaves the state unchanged:
 //
 //	chart := sparchart.MustParse([]byte(`{
 //		"name": "door", "start": "shut",
@@ -14,7 +14,7 @@
 //	state = chart.Next(state, "pull")
 //	chart.Has(state, "passable") // true
 //
-// A chart is immutable after parsing and safe to share.
+// A Chart is immutable and safe for concurrent use.
 package sparchart
 
 import (
@@ -32,7 +32,7 @@
 	// Mark is a named property of a state.
 	Mark string
 
-	// Chart is a set of states. The zero Chart has none; use Parse.
+	// Chart is a parsed state chart. The zero Chart has no states; use Parse.
 	Chart struct {
 		document document
 	}
@@ -49,8 +49,8 @@
 	}
 )
 
-// Parse reads a chart from JSON with comments and checks that every state it
-// leads to exists.
+// Parse parses a chart from JSON with comments. It checks that the start state and the
+// targets of all transitions exist.
 func Parse(text []byte) (c *Chart, err error) {
 	defer func() {
 		if err != nil {
@@ -78,7 +78,8 @@
 	return c, nil
 }
 
-// MustParse is Parse for embedded charts, which tests parse too. It panics on an error.
+// MustParse is like Parse but panics on an error. It is for embedded charts, which tests
+// parse too.
 func MustParse(text []byte) *Chart {
 	c, err := Parse(text)
 	if err != nil {
@@ -87,10 +88,10 @@
 	return c
 }
 
-// Start returns the state that a new subject is in.
+// Start returns the initial state.
 func (c *Chart) Start() State { return c.document.Start }
 
-// Next returns the state that event leads to from state.
+// Next returns the state after event in state.
 func (c *Chart) Next(state State, event Event) State {
 	if to, ok := c.document.States[state].On[event]; ok {
 		return to
@@ -98,7 +99,7 @@
 	return state
 }
 
-// Has reports whether state carries mark.
+// Has reports whether state has mark.
 func (c *Chart) Has(state State, mark Mark) bool {
 	for _, m := range c.document.States[state].Marks {
 		if m == mark {
