--- a/internal/route/sparcookie/flow.go
+++ b/internal/route/sparcookie/flow.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// recentSpan is the decay time of the recent requests of an upstream: a few times
-	// the service time of a request.
+	// recentSpan is the decay time of the count of recent requests to an upstream: a few
+	// times the service time of a request.
 	recentSpan = 60 * time.Millisecond
 	// rateSpan is the decay time of the request rate of an upstream. It is long enough
 	// to average out random variation, and short compared with a burst of seconds.
 	rateSpan = 500 * time.Millisecond
-	// abandonedSpan is the decay time of the abandoned requests of an upstream: several
-	// client timeouts, so that the next requests of these clients go to other upstreams.
+	// abandonedSpan is the decay time of the count of abandoned requests of an upstream:
+	// several client timeouts, so that the next requests of the clients go elsewhere.
 	abandonedSpan = 5 * time.Second
 )
 
--- a/internal/route/sparcookie/forward.go
+++ b/internal/route/sparcookie/forward.go
@@ -6,7 +6,7 @@
 
 const (
 	// minRetransmitAge is the least age of a SYN or request at which its retransmission
-	// counts against the upstream. Clients retransmit first after 200 ms.
+	// counts against its upstream. Clients send the first retransmission after 200 ms.
 	minRetransmitAge = 150 * time.Millisecond
 	// openTimeout is how long a client waits for its flow to open.
 	openTimeout = 1500 * time.Millisecond
@@ -47,7 +47,7 @@
 	key := keyOf(s)
 	f := e.flows[key]
 	if f != nil && !f.opened && e.now-f.began < openTimeout {
-		return e.retransmitSYN(rec, key, f)
+		return e.forwardRetransmittedSYN(rec, key, f)
 	}
 	u := e.choose(rec, key, nil)
 	if u == nil {
@@ -66,11 +66,11 @@
 	}
 }
 
-// retransmitSYN returns the verdict on a retransmitted SYN that has had no response.
-// If its upstream has answered other clients meanwhile, a packet was lost and the SYN
-// goes to the same upstream. Otherwise it goes to another one, if there is one. The
-// flow opens at the first upstream whose SYN-ACK the client acknowledges.
-func (e *Engine) retransmitSYN(rec *routeRecord, key flowKey, f *flow) Verdict {
+// forwardRetransmittedSYN returns the verdict on a retransmitted SYN that has had no
+// response. If its upstream has answered other clients meanwhile, a packet was lost and
+// the SYN goes to the same upstream. Otherwise it goes to another one, if there is one.
+// The flow opens at the first upstream whose SYN-ACK the client acknowledges.
+func (e *Engine) forwardRetransmittedSYN(rec *routeRecord, key flowKey, f *flow) Verdict {
 	u := f.upstream
 	f.lastSeen = e.now
 	if e.now-f.lastProgress < minRetransmitAge || u.lastResponse > f.lastProgress {
@@ -141,9 +141,9 @@
 }
 
 // mayServe reports whether u may have flows of the route. Before this VM first saw the
-// route it may have named other services, whose flows stay at their upstreams for up to
-// MaxFlowAge. Until then every upstream passes: an upstream takes no data of a flow that
-// it has not accepted.
+// route, the route may have named other services. Their flows stay at their upstreams for
+// up to MaxFlowAge, and until then mayServe allows every upstream. This is safe, since an
+// upstream takes no data of a flow that it has not accepted.
 func (e *Engine) mayServe(rec *routeRecord, u *upstream) bool {
 	return rec.services[u.Service] || e.now-rec.since < MaxFlowAge
 }
--- a/internal/route/sparcookie/hashing_test.go
+++ b/internal/route/sparcookie/hashing_test.go
@@ -50,7 +50,9 @@
 		port    uint16
 
 		requests, failed, moved int
-		peak, total, samples    int // sums over samples of the requests at the busiest upstream and at all of them
+		// peak and total add up, over the samples, the requests at the busiest upstream
+		// and at all upstreams.
+		peak, total, samples int
 	}
 
 	simServer struct {
--- a/internal/route/sparcookie/place.go
+++ b/internal/route/sparcookie/place.go
@@ -14,8 +14,8 @@
 	// spillThreshold is the utilization of the slots of a failure domain above which
 	// new flows may go to other domains. Beyond it requests begin to queue.
 	spillThreshold = 0.75
-	// abandonedWeight is the load of an abandoned request in open flows: the number of
-	// requests that an upstream queues, since its queue may be full.
+	// abandonedWeight is the load that an abandoned request counts for, in open flows: the
+	// length of an upstream's queue, since nothing shows whether the queue has room.
 	abandonedWeight = 8
 	// typicalServiceTime is how long a request occupies a slot in today's services.
 	typicalServiceTime = 20 * time.Millisecond
@@ -27,7 +27,7 @@
 const (
 	tierLocal     tier = iota // healthy, in the failure domain of this VM
 	tierRemote                // healthy, in another failure domain
-	tierUnhealthy             // answers no client of this VM
+	tierUnhealthy             // ejected, or probed within probeInterval
 	tierNone                  // takes no new flows
 )
 
@@ -93,8 +93,8 @@
 	return u
 }
 
-// bestOf returns the least loaded upstream of the best tier, and that tier. If this failure
-// domain is full, upstreams of the others have the same tier as local ones.
+// bestOf returns the least loaded upstream of the best tier, and that tier. full means that
+// this failure domain is full: then upstreams of the others have the tier of local ones.
 func (e *Engine) bestOf(upstreams []*upstream, key flowKey, exclude *upstream, full bool) (best *upstream, bestTier tier) {
 	var bestScore float64
 	bestTier = tierNone
@@ -115,8 +115,8 @@
 	return best, bestTier
 }
 
-// ejectOverdue ejects an upstream whose response to a SYN is overdue. A response to any
-// flow takes it back.
+// ejectOverdue ejects an upstream whose response to a SYN is overdue. A response on any
+// flow ends the ejection.
 func (e *Engine) ejectOverdue(u *upstream) {
 	if u.pendingSince > 0 && e.now-u.pendingSince >= synAckTimeout && u.health.Opens() && e.now-u.lastSYN >= synAckTimeout {
 		e.emitHealth(u, u.health.Ejected(e.now))
--- a/internal/route/sparcookie/place_test.go
+++ b/internal/route/sparcookie/place_test.go
@@ -94,9 +94,8 @@
 	}
 }
 
-// TestSilentUpstreamComesBack checks that one successful probe takes an ejected upstream
-// back.
-func TestSilentUpstreamComesBack(t *testing.T) {
+// TestSilentUpstreamRecovers checks that one successful probe ends the ejection.
+func TestSilentUpstreamRecovers(t *testing.T) {
 	f := newFixture(t)
 	f.openMany(150, func(id uint64) bool { return id == 2 })
 	got := f.openMany(600, nil)
