--- a/internal/route/sparroute/engine.go
+++ b/internal/route/sparroute/engine.go
@@ -1,13 +1,13 @@
 // Package sparroute decides where each packet goes.
 //
 // An Engine holds the routing state of one VM. It does no I/O and reads no clock:
-// the shell feeds it packets, settings, views and messages, and acts on the
-// verdicts and effects it returns.
+// the caller passes in packets, settings, views and messages, and acts on the
+// verdicts and effects that the engine returns.
 //
 //	e := sparroute.New("vm-1", hasher, flows)
 //	e.Advance(now, wall)
 //	e.Apply(snapshot)
-//	e.Join(view)
+//	e.SetView(view)
 //	switch v := e.Forward(segment); v.Action {
 //	case sparroute.ToUpstream:
 //		// rewrite the destination to v.At and send
@@ -15,14 +15,14 @@
 //		// redirect to the VM v.Peer
 //	}
 //
-// A keyed hash puts each flow of a service into one of sparflow.Slots hash slots.
-// One VM owns each slot and decides its openings. Most flows go to the base
-// of their slot, an upstream that the owner and its standbys agree on. A flow
-// placed elsewhere is an override: its standbys acknowledge it before its SYN
-// leaves, so the death of the owner breaks no flow.
+// A keyed hash maps each flow of a service to one of sparflow.Slots hash slots.
+// One VM owns each slot and chooses the upstream of its new flows. Most flows go to
+// the default upstream of their slot, which the owner and its standbys agree on. A
+// flow placed on another upstream is an override: the standbys acknowledge its record
+// before its SYN is forwarded, so that no flow breaks when the owner crashes.
 //
-// A packet of a flow that a VM does not know is redirected to the owner. A VM learns
-// flows from the answers of upstreams, which name the upstream in their source.
+// A VM that has no record of a flow redirects its packets to the owner. It learns
+// flows from the responses of upstreams, whose source address names the upstream.
 package sparroute
 
 import (
@@ -43,16 +43,16 @@
 	// MaxHops is the number of redirects that a packet may take.
 	MaxHops = 2
 
-	// HandoverWait is how long a new owner waits for the former one.
+	// HandoverWait is how long a new owner waits for the former one to hand over.
 	HandoverWait = 1500 * time.Millisecond
 
-	scanEvery    = 100 * time.Millisecond
-	handedWait   = 700 * time.Millisecond
-	endedEvery   = time.Second
-	collectEvery = 5 * time.Second
-	linger       = 60 * time.Second
-	maxHeld      = 8192
-	maxFlows     = 4 << 20
+	scanEvery       = 100 * time.Millisecond
+	handedWait      = 700 * time.Millisecond // from a handover received to the view that makes this VM owner
+	endedFlushEvery = time.Second
+	collectEvery    = 5 * time.Second
+	linger          = 60 * time.Second // how long the record of a closed flow is kept
+	maxHeld         = 8192             // held openings per service
+	maxFlows        = 4 << 20          // flow records per service
 )
 
 const (
@@ -72,34 +72,34 @@
 type (
 	// Engine is the routing state of one VM. Use New.
 	Engine struct {
-		self     string
-		hasher   sparflow.Hasher
-		now      time.Duration
-		wall     time.Time
-		snapshot sparconfig.Snapshot
-		first    uint64 // revision of the first settings applied
-		applied  bool
-		view     sparmember.View
-		me       int // index in view, or -1
-		roles    []role
-		groups   map[string]*group
-		accept   map[address]*group
-		answer   map[address]*group
-		cache    *sparflow.Cache
-		pending  []pending
-		effects  []Effect
-		acked    func(peer string) (seq uint64)
-		queue    func(peer string, m Message) (seq uint64)
-		searches int    // begun since searchesFrom
-		partial  bool   // VMs that may own slots are out of reach, or were lately
-		newer    string // a live peer with newer settings, or ""
-		collect  time.Duration
+		self           string
+		hasher         sparflow.Hasher
+		now            time.Duration
+		wall           time.Time
+		snapshot       sparconfig.Snapshot
+		firstRevision  uint64 // revision of the first settings applied
+		applied        bool
+		view           sparmember.View
+		me             int // index in view.Members, or -1
+		roles          []role
+		groups         map[string]*group
+		byService      map[address]*group // by the address of the service
+		byUpstream     map[address]*group // by the address of an upstream
+		cache          *sparflow.Cache
+		pending        []pending
+		effects        []Effect
+		acked          func(peer string) (seq uint64)
+		queue          func(peer string, m Message) (seq uint64)
+		searches       int    // searches started since searchesFrom
+		viewIncomplete bool   // VMs that may own slots are unreachable, or were until recently
+		newerPeer      string // a live peer with newer settings, or ""
+		collected      time.Duration
 
 		searchesFrom time.Duration
 		stats        Stats
 	}
 
-	// role names the VMs of one slot as indices in the view, or -1.
+	// role holds the owner and the standbys of one slot as indices in view.Members, or -1.
 	role struct {
 		owner    int16
 		standbys [2]int16
@@ -108,121 +108,123 @@
 	// address is a protocol and an endpoint in one word: proto<<48 | endpoint.
 	address uint64
 
-	// group is the state of one service.
+	// group is the routing state of one service and its upstreams.
 	group struct {
-		service *sparconfig.Service
-		names   []uint64 // ranks of service.Upstreams
-		carries map[sparflow.Endpoint]bool
-		lost    bool // an upstream that may have had flows carries none any more
-		slots   []slot
-		flows   map[sparflow.Key]flow
-		load    load
-		health  map[sparflow.Endpoint]*sparhealth.Health
-		held    map[sparflow.Key]bool
-		handing []handing
-		ended   map[sparflow.Key]bool // overrides that standbys are to forget
-		dirty   map[uint16]bool       // slots whose standbys are to be told everything
-
-		scanDue bool // some slot waits for a scan
-		scanned time.Duration
-		swept   time.Duration // last time that standbys were told of ended overrides
+		service    *sparconfig.Service
+		ranks      []uint64                   // ranks of service.Upstreams
+		carries    map[sparflow.Endpoint]bool // upstreams that may carry flows
+		anyRemoved bool                       // an upstream that may have had flows has been removed
+		slots      []slot
+		flows      map[sparflow.Key]flow
+		load       load
+		health     map[sparflow.Endpoint]*sparhealth.Health
+		held       map[sparflow.Key]bool // flows whose opening is held
+		handovers  []handover
+		ended      map[sparflow.Key]bool // overrides that standbys are to forget
+		dirty      map[uint16]bool       // slots whose standbys need a full copy
+
+		scanDue      bool // some slot waits for a scan
+		scanned      time.Duration
+		endedFlushed time.Duration // when ended overrides were last sent to standbys
 	}
 
-	// slot is what this VM knows of one hash slot.
+	// slot is the state of one hash slot on this VM.
 	slot struct {
-		phase    sparchart.State
-		base     sparflow.Endpoint // home of flows without a record
-		first    sparflow.Endpoint // where settings put new flows
-		complete bool              // every open flow has a record here
-		rebasing bool
-		informed bool // overrides of the slot are known here
-		resumed  bool // owned before a pause of this process, to be handed over
-		handed   bool // a handover has finished before the view made us owner
-		from     string
-		since    time.Duration
+		phase           sparchart.State
+		defaultUpstream sparflow.Endpoint // upstream of flows without a record
+		preferred       sparflow.Endpoint // upstream that the settings choose for new flows
+		complete        bool              // every open flow has a record here
+		changingDefault bool              // a new default waits for the standbys
+		overridesKnown  bool              // this VM has the overrides of the slot
+		resumed         bool              // owned before a pause of this process, to be handed over
+		handed          bool              // received by a handover before the view made this VM the owner
+		from            string            // VM that hands the slot over
+		since           time.Duration     // last change of phase, reset or handover
 	}
 
-	// flow is one record. It takes 16 bytes.
+	// flow is the record of one flow. It takes 16 bytes.
 	flow struct {
-		home  sparflow.Endpoint
-		at    uint32 // monotonic seconds of the last change
-		state uint8
-		flags uint8
-		tried uint16 // upstreams that a search has ruled out
+		upstream sparflow.Endpoint
+		changed  uint32 // time of the last change, in monotonic seconds
+		state    uint8
+		flags    uint8
+		tried    uint16 // upstreams that a search has ruled out
 	}
 
-	// pending is a change that waits for the acknowledgement of standbys.
+	// pending is a change that waits for the acknowledgements of standbys.
 	pending struct {
-		group *group
-		key   sparflow.Key // 0 for a rebase
-		home  sparflow.Endpoint
-		slots []uint16
-		needs []need
+		group    *group
+		key      sparflow.Key // 0 for a change of the default upstream
+		upstream sparflow.Endpoint
+		slots    []uint16
+		acks     []ack
 	}
 
-	need struct {
+	// ack is an acknowledgement to wait for: that peer has received message seq.
+	ack struct {
 		peer string
 		seq  uint64
 	}
 
-	// handing is a handover that its receiver has not acknowledged.
-	handing struct {
-		need
+	// handover is a handover that its receiver has not acknowledged.
+	handover struct {
+		ack
 		slots []uint16
 	}
 )
 
 const (
 	flowHeld    uint8 = iota // waits for its standbys
-	flowOpening              // SYN passed on, no answer seen
+	flowOpening              // SYN forwarded, no response seen
 	flowOpen
-	flowSearch // its upstream is being looked for, see search
-	flowClosed // kept for a while so that a reused port finds the same home
+	flowSearch // a search looks for its upstream, see startSearch
+	flowClosed // kept for linger so that a reused port finds the same upstream
 )
 
 const (
-	flagReplicated uint8 = 1 << iota // standbys have the record
-	flagCallerIn                     // caller sent FIN
-	flagUpperIn                      // upstream sent FIN
-	flagDoubt                        // may have been opened elsewhere too, across a cut
+	flagReplicated  uint8 = 1 << iota // standbys have the record
+	flagClientFIN                     // the client has sent FIN
+	flagUpstreamFIN                   // the upstream has sent FIN
+	flagUnverified                    // may also be open at another upstream, across a network partition
 )
 
-// New returns an engine for the VM called self. flows bounds its cache.
+// New returns an engine for the VM called self. flows limits the size of its cache.
 func New(self string, hasher sparflow.Hasher, flows int) *Engine {
 	return &Engine{
 		self: self, hasher: hasher, me: -1,
-		groups: map[string]*group{}, accept: map[address]*group{}, answer: map[address]*group{},
+		groups: map[string]*group{}, byService: map[address]*group{}, byUpstream: map[address]*group{},
 		cache: sparflow.NewCache(max(flows/2, 1)),
 		acked: func(string) uint64 { return 0 },
 		queue: func(string, Message) uint64 { return 0 },
 	}
 }
 
-// Connect gives the engine its streams: queue sends a message and returns its
-// sequence number, acked returns the highest number that the peer has taken.
+// Connect sets the functions that reach other VMs: queue sends a message to a peer and
+// returns its sequence number, acked returns the highest number that the peer has
+// acknowledged.
 func (e *Engine) Connect(queue func(peer string, m Message) uint64, acked func(peer string) uint64) {
 	e.queue, e.acked = queue, acked
 }
 
-// Advance sets the time for the calls that follow: monotonic and wall.
+// Advance sets the monotonic and the wall time for the calls that follow.
 func (e *Engine) Advance(now time.Duration, wall time.Time) {
 	e.now, e.wall = now, wall
 }
 
-// Newer names a live peer whose settings are newer than these, or "".
-func (e *Engine) Newer(peer string) { e.newer = peer }
+// SetNewerPeer names a live peer with settings newer than those in force, or "".
+func (e *Engine) SetNewerPeer(peer string) { e.newerPeer = peer }
 
-// Partial says whether VMs that may own slots are out of reach, or were until a
-// moment ago. Flows may then exist that no VM on this side has a record of.
-func (e *Engine) Partial(partial bool) { e.partial = partial }
+// SetViewIncomplete says whether VMs that may own slots are unreachable, or were until
+// recently. Flows may then exist that no reachable VM has a record of.
+func (e *Engine) SetViewIncomplete(incomplete bool) { e.viewIncomplete = incomplete }
 
 // Snapshot returns the settings in force.
 func (e *Engine) Snapshot() sparconfig.Snapshot { return e.snapshot }
 
-// View returns the view that ownership follows.
+// View returns the view that decides who owns each slot.
 func (e *Engine) View() sparmember.View { return e.view }
 
-// Effects returns and clears what the shell has to do.
+// Effects returns the effects since the last call.
 func (e *Engine) Effects() []Effect {
 	effects := e.effects
 	e.effects = nil
@@ -235,17 +237,17 @@
 	return address(uint64(proto)<<48 | uint64(at))
 }
 
-// sorted returns the keys of m in order, so that equal runs act alike.
+// sorted returns the keys of m in order, so that runs are reproducible.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// seconds returns the monotonic time as kept in records.
+// seconds returns the monotonic time in the unit of flow.changed.
 func (e *Engine) seconds() uint32 { return uint32(e.now / time.Second) }
 
-// Frozen takes ownership away after a pause of the process: the others have taken
-// over. They get the records of this VM with the next view, unless the pause was so
-// long that they may be about flows long ended.
+// Frozen gives up all slots after a pause of the process, as other VMs have taken them
+// over. The next view sends them the records of this VM, unless the pause was so long
+// that the flows may have ended long ago.
 func (e *Engine) Frozen(pause time.Duration) {
 	e.cache.Clear()
 	e.view = sparmember.View{}
@@ -256,44 +258,44 @@
 		for n := range g.slots {
 			g.slots[n].resumed = g.slots[n].phase == owning && pause < linger
 			g.slots[n].phase = slotChart.Next(g.slots[n].phase, "frozen")
-			g.slots[n].rebasing = false
+			g.slots[n].changingDefault = false
 		}
 		g.recount()
 	}
 }
 
-// Tick does what time makes due.
+// Tick does the periodic work that is due.
 func (e *Engine) Tick() {
 	for _, name := range sorted(e.groups) {
 		g := e.groups[name]
 		e.expireDrains(g)
 		e.tickHealth(g)
 		g.load.tick()
-		if e.now-g.swept >= endedEvery {
-			g.swept = e.now
+		if e.now-g.endedFlushed >= endedFlushEvery {
+			g.endedFlushed = e.now
 			e.flushEnded(g)
 		}
 		if g.scanDue && e.now-g.scanned >= scanEvery {
 			e.scan(g)
 		}
 	}
-	e.settle()
-	if e.now-e.collect >= collectEvery {
-		e.collect = e.now
+	e.completePending()
+	if e.now-e.collected >= collectEvery {
+		e.collected = e.now
 		for _, g := range e.groups {
 			e.collectFlows(g)
 		}
 	}
 }
 
-// scan does what slots wait for. It costs a walk over all slots, so it runs only
-// while some slot waits.
+// scan retries and completes what slots wait for. It iterates over all slots, so it
+// runs only while some slot waits.
 func (e *Engine) scan(g *group) {
 	g.scanned = e.now
 	g.scanDue = false
-	waits := e.expireWaits(g)
-	waits = e.retryHandovers(g) || waits
+	waiting := e.expireAwaiting(g)
+	waiting = e.retryHandovers(g) || waiting
 	e.flush(g)
-	late := e.rebase(g)
-	g.scanDue = g.scanDue || waits || late
+	changing := e.changeDefaults(g)
+	g.scanDue = g.scanDue || waiting || changing
 }
--- a/internal/route/sparroute/engine_test.go
+++ b/internal/route/sparroute/engine_test.go
@@ -23,7 +23,7 @@
 
 func upstream(i int) sparflow.Endpoint { return sparflow.MakeEndpoint(0x0A000001+uint32(i), 8080) }
 
-func caller(i int) sparflow.Endpoint {
+func client(i int) sparflow.Endpoint {
 	return sparflow.MakeEndpoint(0xCB000000+uint32(i/50000), uint16(1024+i%50000))
 }
 
@@ -56,39 +56,39 @@
 	return v
 }
 
-// engine returns an engine with a service that began after it.
+// engine returns an engine with a service that is newer than its first settings.
 func engine(proto string, names ...string) *sparroute.Engine {
 	e := sparroute.New("vm-1", sparflow.NewHasher(1, 2), 4<<20)
 	e.Advance(time.Second, wall)
 	e.Apply(settings(sparconfig.Snapshot{}, 1, sparconfig.Document{}))
-	e.Join(view(names...))
+	e.SetView(view(names...))
 	e.Apply(settings(e.Snapshot(), 5, document(proto)))
 	e.Tick()
 	return e
 }
 
 func packet(i int, kind sparroute.Kind) sparroute.Segment {
-	return sparroute.Segment{From: caller(i), To: service, Proto: sparflow.TCP, Kind: kind}
+	return sparroute.Segment{From: client(i), To: service, Proto: sparflow.TCP, Kind: kind}
 }
 
-func answer(i int, from sparflow.Endpoint, kind sparroute.Kind) sparroute.Segment {
-	return sparroute.Segment{From: from, To: caller(i), Proto: sparflow.TCP, Kind: kind}
+func response(i int, from sparflow.Endpoint, kind sparroute.Kind) sparroute.Segment {
+	return sparroute.Segment{From: from, To: client(i), Proto: sparflow.TCP, Kind: kind}
 }
 
-// open opens n flows of slots owned here and learns the others from answers.
-func open(e *sparroute.Engine, n int) (homes []sparflow.Endpoint) {
+// open opens n flows. Those of slots owned elsewhere are learned from a response.
+func open(e *sparroute.Engine, n int) (assigned []sparflow.Endpoint) {
 	for i := range n {
 		v := e.Forward(packet(i, sparroute.Opening))
-		home := v.At
+		at := v.At
 		if v.Action == sparroute.ToPeer {
-			home = upstream(i % upstreams)
-			e.Return(answer(i, home, sparroute.Data))
+			at = upstream(i % upstreams)
+			e.Return(response(i, at, sparroute.Data))
 		} else {
-			e.Return(answer(i, home, sparroute.Accepting))
+			e.Return(response(i, at, sparroute.Accepting))
 		}
-		homes = append(homes, home)
+		assigned = append(assigned, at)
 	}
-	return homes
+	return assigned
 }
 
 func assertAction(t *testing.T, v sparroute.Verdict, want sparroute.Action) {
@@ -110,12 +110,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			const flows = 10_000
 			e := engine("tcp", c.members...)
-			homes := open(e, flows)
+			assigned := open(e, flows)
 			i := 0
 			allocs := testing.AllocsPerRun(flows, func() {
 				i = (i + 1) % flows
 				e.Forward(packet(i, sparroute.Data))
-				e.Return(answer(i, homes[i], sparroute.Data))
+				e.Return(response(i, assigned[i], sparroute.Data))
 			})
 			if allocs != 0 {
 				t.Errorf("%v allocations a packet, want 0", allocs)
@@ -158,7 +158,7 @@
 	return int64(m.HeapAlloc)
 }
 
-func TestRefusalIsTrue(t *testing.T) {
+func TestOpeningIsRefusedWhenAllUpstreamsDrain(t *testing.T) {
 	d := document("tcp")
 	e := engine("tcp", "vm-1")
 	for i := range d.Upstreams {
@@ -168,93 +168,93 @@
 	assertAction(t, e.Forward(packet(1, sparroute.Opening)), sparroute.Refuse)
 }
 
-func TestLoserIsDropped(t *testing.T) {
+func TestReturnOfOtherUpstreamIsDropped(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	home := e.Forward(packet(1, sparroute.Opening)).At
+	at := e.Forward(packet(1, sparroute.Opening)).At
 	other := upstream(0)
-	if other == home {
+	if other == at {
 		other = upstream(1)
 	}
-	assertAction(t, e.Return(answer(1, other, sparroute.Accepting)), sparroute.Drop)
-	assertAction(t, e.Return(answer(1, other, sparroute.Resetting)), sparroute.Drop)
-	assertAction(t, e.Return(answer(1, home, sparroute.Accepting)), sparroute.ToCaller)
+	assertAction(t, e.Return(response(1, other, sparroute.Accepting)), sparroute.Drop)
+	assertAction(t, e.Return(response(1, other, sparroute.Resetting)), sparroute.Drop)
+	assertAction(t, e.Return(response(1, at, sparroute.Accepting)), sparroute.ToCaller)
 }
 
-func TestAdoptedFlowOfAGoneUpstreamIsAborted(t *testing.T) {
+func TestAdoptedFlowOfRemovedUpstreamIsAborted(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	gone := sparflow.MakeEndpoint(0x0A0000FE, 8080)
-	key := sparflow.NewHasher(1, 2).Key(sparflow.Tuple{Caller: caller(2), Service: service, Proto: sparflow.TCP})
+	removed := sparflow.MakeEndpoint(0x0A0000FE, 8080)
+	key := sparflow.NewHasher(1, 2).Key(sparflow.Tuple{Caller: client(2), Service: service, Proto: sparflow.TCP})
 	e.Receive("vm-2", sparroute.Handover{
-		Service: "team/booking", Pins: []sparroute.Pins{{Home: gone, Keys: []sparflow.Key{key}}},
+		Service: "team/booking", Pins: []sparroute.Pins{{Home: removed, Keys: []sparflow.Key{key}}},
 	})
 	assertAction(t, e.Forward(packet(2, sparroute.Data)), sparroute.Abort)
 }
 
-func TestReusedTupleKeepsItsHome(t *testing.T) {
+func TestReusedTupleKeepsItsUpstream(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	homes := open(e, 3000) // some of them overrides
-	for i, home := range homes {
-		e.Return(answer(i, home, sparroute.Accepting))
+	assigned := open(e, 3000) // some of them overrides
+	for i, at := range assigned {
+		e.Return(response(i, at, sparroute.Accepting))
 		e.Forward(packet(i, sparroute.Resetting))
 		v := e.Forward(packet(i, sparroute.Opening))
-		if v.At != home {
-			t.Fatalf("flow %d opened again at %s, was at %s", i, v.At, home)
+		if v.At != at {
+			t.Fatalf("new flow with tuple %d is at %s, the closed one was at %s", i, v.At, at)
 		}
 	}
 }
 
 func TestHalfCloseIsNotTheEnd(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	home := e.Forward(packet(1, sparroute.Opening)).At
-	e.Return(answer(1, home, sparroute.Accepting))
+	at := e.Forward(packet(1, sparroute.Opening)).At
+	e.Return(response(1, at, sparroute.Accepting))
 	e.Forward(packet(1, sparroute.Finishing))
-	if use := e.Use("team/booking", home); use.Flows != 1 {
+	if use := e.Use("team/booking", at); use.Flows != 1 {
 		t.Fatalf("%d flows after half-close, want 1", use.Flows)
 	}
-	assertAction(t, e.Return(answer(1, home, sparroute.Data)), sparroute.ToCaller)
-	e.Return(answer(1, home, sparroute.Finishing))
-	if use := e.Use("team/booking", home); use.Flows != 0 {
+	assertAction(t, e.Return(response(1, at, sparroute.Data)), sparroute.ToCaller)
+	e.Return(response(1, at, sparroute.Finishing))
+	if use := e.Use("team/booking", at); use.Flows != 0 {
 		t.Errorf("%d flows after both halves closed, want 0", use.Flows)
 	}
 }
 
-func TestUnansweredOpeningMoves(t *testing.T) {
+func TestUnansweredOpeningMovesToOtherUpstream(t *testing.T) {
 	e := engine("tcp", "vm-1")
 	now := time.Second
-	home := e.Forward(packet(1, sparroute.Opening)).At
+	at := e.Forward(packet(1, sparroute.Opening)).At
 	for try := range 6 {
 		now += 3 * time.Second
 		e.Advance(now, wall)
 		v := e.Forward(packet(1, sparroute.Opening))
 		assertAction(t, v, sparroute.ToUpstream)
-		if v.At != home {
-			t.Logf("moved after %d tries", try+1)
-			assertAction(t, e.Return(answer(1, home, sparroute.Accepting)), sparroute.Drop)
+		if v.At != at {
+			t.Logf("moved after %d retransmissions", try+1)
+			assertAction(t, e.Return(response(1, at, sparroute.Accepting)), sparroute.Drop)
 			return
 		}
 	}
-	t.Error("the opening never moved off a silent upstream")
+	t.Error("the opening never moved away from an unresponsive upstream")
 }
 
 func TestUDPFlowEndsByIdleTime(t *testing.T) {
 	e := engine("udp", "vm-1")
-	s := sparroute.Segment{From: caller(1), To: service, Proto: sparflow.UDP}
-	home := e.Forward(s).At
+	s := sparroute.Segment{From: client(1), To: service, Proto: sparflow.UDP}
+	at := e.Forward(s).At
 	for second := range 10 {
 		e.Advance(time.Duration(second*30)*time.Second, wall)
 		e.Tick()
-		if v := e.Forward(s); v.At != home {
-			t.Fatalf("a flow in use moved from %s to %s", home, v.At)
+		if v := e.Forward(s); v.At != at {
+			t.Fatalf("a flow in use moved from %s to %s", at, v.At)
 		}
 	}
 	e.Advance(600*time.Second, wall)
 	e.Tick()
-	if use := e.Use("team/booking", home); use.Flows != 0 {
+	if use := e.Use("team/booking", at); use.Flows != 0 {
 		t.Errorf("%d flows after the idle time, want 0", use.Flows)
 	}
 }
 
-func TestWarmingUpstreamRamps(t *testing.T) {
+func TestWarmingUpstreamGetsFewFlows(t *testing.T) {
 	d := document("tcp")
 	d.Warm = 100
 	e := engine("tcp", "vm-1")
--- a/internal/route/sparroute/handover.go
+++ b/internal/route/sparroute/handover.go
@@ -6,7 +6,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/flow/sparflow"
 )
 
-// Receive takes a message of another engine.
+// Receive applies a message from the engine of another VM.
 func (e *Engine) Receive(peer string, m Message) {
 	switch m := m.(type) {
 	case Sync:
@@ -24,36 +24,36 @@
 	}
 }
 
-// handOver sends everything about slots to their new owner.
+// handOver sends the records and default upstreams of slots to their new owner.
 func (e *Engine) handOver(g *group, peer string, slots []uint16) {
 	moved := slotSet(slots)
-	var pins batch[pinHead, sparflow.Key]
+	var flows batch[flowAttrs, sparflow.Key]
 	for key, f := range g.flows {
 		if moved[uint16(key.Slot())] && (f.state == flowOpen || f.state == flowOpening || f.state == flowSearch) {
-			pins.add(headOf(f), key)
+			flows.add(attrsOf(f), key)
 		}
 	}
 	for chunk := range slices.Chunk(slots, maxSlots) {
 		e.queue(peer, Handover{Service: g.service.Name, Reset: chunk})
 	}
-	for _, chunk := range pinsOf(&pins) {
+	for _, chunk := range flowChunks(&flows) {
 		e.queue(peer, Handover{Service: g.service.Name, Pins: chunk})
 	}
-	last := need{peer: peer}
-	for _, chunk := range basesOf(g, slots) {
+	last := ack{peer: peer}
+	for _, chunk := range defaultChunks(g, slots) {
 		last.seq = e.queue(peer, Finish{Service: g.service.Name, Bases: chunk})
 	}
-	g.handing = append(g.handing, handing{need: last, slots: slots})
+	g.handovers = append(g.handovers, handover{ack: last, slots: slots})
 	g.scanDue = true
-	e.emit(Note{Kind: "handover-sent", Service: g.service.Name, Subject: peer, Count: len(slots)})
+	e.emit(Event{Kind: "handover-sent", Service: g.service.Name, Subject: peer, Count: len(slots)})
 }
 
-// retryHandovers gives up handovers that have arrived, and sends those to a VM that is
-// gone to the owners of today. It reports whether some are under way.
+// retryHandovers removes acknowledged handovers, and sends those whose receiver has left
+// the view to the current owners. It reports whether some are in progress.
 func (e *Engine) retryHandovers(g *group) (waiting bool) {
-	var kept []handing
+	var kept []handover
 	again := map[string][]uint16{}
-	for _, h := range g.handing {
+	for _, h := range g.handovers {
 		switch {
 		case e.acked(h.peer) >= h.seq:
 		case e.present(h.peer):
@@ -62,15 +62,15 @@
 			e.readdress(g, h, again)
 		}
 	}
-	g.handing = kept
+	g.handovers = kept
 	for _, owner := range sorted(again) {
 		e.handOver(g, owner, again[owner])
 	}
-	return len(g.handing) > 0
+	return len(g.handovers) > 0
 }
 
-// readdress sorts the slots of a failed handover by their owners of today.
-func (e *Engine) readdress(g *group, h handing, again map[string][]uint16) {
+// readdress adds the slots of a failed handover to the lists of their current owners.
+func (e *Engine) readdress(g *group, h handover, again map[string][]uint16) {
 	for _, n := range h.slots {
 		owner, ok := e.ownerName(int(n))
 		if phase := g.slots[n].phase; ok && phase != owning && phase != awaiting {
@@ -90,12 +90,12 @@
 func (e *Engine) receiveHandover(g *group, m Handover) {
 	e.reset(g, m.Reset)
 	for _, p := range m.Pins {
-		f := flow{home: p.Home, at: e.seconds(), state: flowOpen}
+		f := flow{upstream: p.Home, changed: e.seconds(), state: flowOpen}
 		if p.Opening {
 			f.state = flowOpening
 		}
 		if p.Doubt {
-			f.flags |= flagDoubt
+			f.flags |= flagUnverified
 		}
 		for _, key := range p.Keys {
 			e.adopt(g, key, f)
@@ -103,30 +103,30 @@
 	}
 }
 
-// adopt takes a record of another owner. Where both have one, the one with an
-// established flow stays.
+// adopt stores a record from another owner. If this VM owns the slot and has a record for
+// another upstream, an established flow takes precedence.
 func (e *Engine) adopt(g *group, key sparflow.Key, f flow) {
-	held, known := g.flows[key]
+	existing, known := g.flows[key]
 	sl := &g.slots[key.Slot()]
-	g.lost = g.lost || !g.carries[f.home]
+	g.anyRemoved = g.anyRemoved || !g.carries[f.upstream]
 	if sl.phase != owning {
 		g.flows[key] = f
 		return
 	}
-	if known && held.home == f.home {
+	if known && existing.upstream == f.upstream {
 		return
 	}
-	if known && (held.state == flowOpen || f.state != flowOpen) {
-		held.flags |= flagDoubt
-		g.flows[key] = held
+	if known && (existing.state == flowOpen || f.state != flowOpen) {
+		existing.flags |= flagUnverified
+		g.flows[key] = existing
 		return
 	}
 	e.record(g, key, f)
 	e.markDirty(g, key.Slot())
 }
 
-// reset forgets the records of slots that another VM knows better: not of slots owned
-// here, nor of slots handed over to be owned here or passed on.
+// reset deletes the records of slots before another VM sends its own. It skips slots owned
+// here, and slots handed over to this VM to be owned here or passed on.
 func (e *Engine) reset(g *group, slots []uint16) {
 	if len(slots) == 0 {
 		return
@@ -145,8 +145,8 @@
 	}
 }
 
-// receiveFinish ends a handover. A VM that the view has not made owner yet keeps
-// what it got until it is.
+// receiveFinish completes a handover. A VM that is not yet the owner in its view keeps
+// the received records until it is.
 func (e *Engine) receiveFinish(g *group, peer string, m Finish) {
 	slots := 0
 	for _, b := range m.Bases {
@@ -155,8 +155,8 @@
 				continue
 			}
 			sl := &g.slots[n]
-			sl.base, sl.complete = b.Home, b.Complete
-			sl.handed, sl.informed, sl.from, sl.since = true, true, peer, e.now
+			sl.defaultUpstream, sl.complete = b.Home, b.Complete
+			sl.handed, sl.overridesKnown, sl.from, sl.since = true, true, peer, e.now
 			g.scanDue = true
 			slots++
 			if sl.phase == awaiting {
@@ -166,11 +166,11 @@
 	}
 	g.recount()
 	e.releaseOwned(g)
-	e.emit(Note{Kind: "handover-taken", Service: g.service.Name, Subject: peer, Count: slots})
+	e.emit(Event{Kind: "handover-taken", Service: g.service.Name, Subject: peer, Count: slots})
 }
 
-// releaseOwned sends held openings through Forward again, unless they wait for
-// their standbys.
+// releaseOwned releases the held openings of owned slots, unless they wait for their
+// standbys.
 func (e *Engine) releaseOwned(g *group) {
 	for _, key := range sorted(g.held) {
 		f, known := g.flows[key]
@@ -180,10 +180,10 @@
 	}
 }
 
-// expireWaits takes slots over whose former owner does not hand over, and passes
-// on what was handed to this VM by mistake. It reports whether slots still wait.
-func (e *Engine) expireWaits(g *group) (waiting bool) {
-	took := 0
+// expireAwaiting takes over slots whose former owner does not hand over, and passes on
+// slots that were handed to this VM by mistake. It reports whether slots still wait.
+func (e *Engine) expireAwaiting(g *group) (waiting bool) {
+	taken := 0
 	misdirected := map[string][]uint16{}
 	for n := range g.slots {
 		sl := &g.slots[n]
@@ -191,7 +191,7 @@
 		case sl.phase == awaiting && (e.now-sl.since > HandoverWait || !e.present(sl.from)):
 			sl.complete = false
 			e.takeOver(g, n)
-			took++
+			taken++
 		case sl.handed && sl.phase != owning && e.now-sl.since > handedWait:
 			sl.handed = false
 			if owner, ok := e.ownerName(n); ok && owner != sl.from {
@@ -204,10 +204,10 @@
 	for _, owner := range sorted(misdirected) {
 		e.handOver(g, owner, misdirected[owner])
 	}
-	if took > 0 {
+	if taken > 0 {
 		g.recount()
 		e.releaseOwned(g)
-		e.emit(Note{Kind: "takeover", Service: g.service.Name, Count: took})
+		e.emit(Event{Kind: "takeover", Service: g.service.Name, Count: taken})
 	}
 	return waiting
 }
--- a/internal/route/sparroute/health.go
+++ b/internal/route/sparroute/health.go
@@ -5,26 +5,26 @@
 	"github.com/oleanderspar/oleanderspar/internal/route/sparhealth"
 )
 
-func (e *Engine) succeeded(g *group, at sparflow.Endpoint) {
+func (e *Engine) recordSuccess(g *group, at sparflow.Endpoint) {
 	h := g.health[at]
 	if h != nil && h.Answered(e.now) {
-		e.noteHealth(g, at, h)
+		e.emitHealth(g, at, h)
 	}
 }
 
-func (e *Engine) failed(g *group, at sparflow.Endpoint) {
+func (e *Engine) recordFailure(g *group, at sparflow.Endpoint) {
 	h := g.health[at]
 	if h != nil && h.Failed(e.now) {
-		e.noteHealth(g, at, h)
+		e.emitHealth(g, at, h)
 	}
 }
 
-func (e *Engine) noteHealth(g *group, at sparflow.Endpoint, h *sparhealth.Health) {
-	e.emit(Note{Kind: "upstream-" + h.State(), Service: g.service.Name, Subject: at.String()})
+func (e *Engine) emitHealth(g *group, at sparflow.Endpoint, h *sparhealth.Health) {
+	e.emit(Event{Kind: "upstream-" + h.State(), Service: g.service.Name, Subject: at.String()})
 }
 
-// healthy reports whether the flows speak against the upstream. When most
-// upstreams look failing, the fault is more likely on this side: none is believed.
+// healthy reports whether the upstream is healthy by its flows. If most upstreams look
+// unhealthy, the fault is more likely on this side, and all count as healthy.
 func (e *Engine) healthy(g *group, at sparflow.Endpoint) bool {
 	h := g.health[at]
 	if h == nil || h.Opens() {
@@ -39,7 +39,7 @@
 	return failing*2 > len(g.health)
 }
 
-// weight returns the share of an upstream, 1 unless it is warming.
+// weight returns the relative share of new flows of an upstream, 1 unless it is warming.
 func (e *Engine) weight(g *group, at sparflow.Endpoint) float64 {
 	h := g.health[at]
 	if h == nil {
@@ -51,14 +51,14 @@
 func (e *Engine) tickHealth(g *group) {
 	for at, h := range g.health {
 		if h.Tick(e.now, g.service.Warm) {
-			e.noteHealth(g, at, h)
+			e.emitHealth(g, at, h)
 		}
 	}
 }
 
-// updateHealth follows the upstreams of the settings. One that joins a service in
-// use warms up first.
-func (e *Engine) updateHealth(g *group, fresh bool) {
+// updateHealth adds and removes health states to match the settings. An upstream that
+// joins a service in use warms up first.
+func (e *Engine) updateHealth(g *group, created bool) {
 	present := map[sparflow.Endpoint]bool{}
 	for _, u := range g.service.Upstreams {
 		present[u.At] = true
@@ -66,7 +66,7 @@
 			continue
 		}
 		h := &sparhealth.Health{}
-		if !fresh && g.service.Warm > 0 {
+		if !created && g.service.Warm > 0 {
 			*h = sparhealth.Joined(e.now)
 		}
 		g.health[u.At] = h
@@ -78,14 +78,14 @@
 	}
 }
 
-// Use is what this VM knows about the use of one upstream.
+// Use is the use of one upstream as seen by this VM.
 type Use struct {
 	Flows      int  // open flows with a record in slots owned here
-	Unrecorded bool // flows without a record may be there
-	Healthy    bool // the flows seen here do not speak against it
+	Unrecorded bool // the upstream may have flows without a record
+	Healthy    bool // healthy by the flows seen here
 }
 
-// Use returns what this VM knows about an upstream of a service.
+// Use returns the use of an upstream of a service as seen by this VM.
 func (e *Engine) Use(service string, at sparflow.Endpoint) Use {
 	g := e.groups[service]
 	if g == nil {
@@ -94,8 +94,8 @@
 	u := Use{Flows: g.load.own[at], Healthy: e.healthy(g, at)}
 	for n := range g.slots {
 		sl := &g.slots[n]
-		decided := sl.phase == owning && sl.complete
-		if !decided && sl.phase != none && sl.phase != standby && sl.base == at {
+		recorded := sl.phase == owning && sl.complete
+		if !recorded && sl.phase != none && sl.phase != standby && sl.defaultUpstream == at {
 			u.Unrecorded = true
 		}
 	}
--- a/internal/route/sparroute/load.go
+++ b/internal/route/sparroute/load.go
@@ -6,19 +6,19 @@
 	"github.com/oleanderspar/oleanderspar/internal/flow/sparflow"
 )
 
-// maxDrift bounds how many other owners are taken to follow the trend seen here. A
-// larger factor makes noise look like load, a smaller one lets owners overshoot.
+// maxDrift limits the number of other owners that are assumed to follow the trend seen
+// here. A larger limit makes noise look like load, a smaller one lets owners overshoot.
 const maxDrift = 2
 
 type (
-	// load counts open flows per upstream: those of the slots owned here exactly,
-	// those of other owners as they last reported them.
+	// load counts open flows per upstream: exactly for the slots owned here, as last
+	// reported for those of other owners.
 	load struct {
-		own      map[sparflow.Endpoint]int
-		before   map[sparflow.Endpoint]int // own at the last report of the others
-		foreign  map[sparflow.Endpoint]int
-		reports  map[string]map[sparflow.Endpoint]int
-		reported bool
+		own       map[sparflow.Endpoint]int
+		ownBefore map[sparflow.Endpoint]int // own at the last report of the others
+		remote    map[sparflow.Endpoint]int
+		reports   map[string]map[sparflow.Endpoint]int
+		reported  bool // some owner has reported since the last tick
 	}
 
 	// Count is the number of open flows at one upstream.
@@ -30,60 +30,60 @@
 
 func newLoad() load {
 	return load{
-		own: map[sparflow.Endpoint]int{}, before: map[sparflow.Endpoint]int{},
-		foreign: map[sparflow.Endpoint]int{}, reports: map[string]map[sparflow.Endpoint]int{},
+		own: map[sparflow.Endpoint]int{}, ownBefore: map[sparflow.Endpoint]int{},
+		remote: map[sparflow.Endpoint]int{}, reports: map[string]map[sparflow.Endpoint]int{},
 	}
 }
 
-// estimate returns the open flows at an upstream over all owners. What this VM has
-// opened since the others last reported is taken to have happened at some of them.
+// estimate returns the number of open flows at an upstream over all owners. It assumes
+// that some of the others have opened as many flows as this VM since their last report.
 func (l *load) estimate(at sparflow.Endpoint) int {
 	own := l.own[at]
-	foreign := l.foreign[at]
+	remote := l.remote[at]
 	if len(l.reports) == 0 {
 		return own
 	}
-	drift := (own - l.before[at]) * min(len(l.reports), maxDrift)
-	return max(own, own+foreign+drift)
+	drift := (own - l.ownBefore[at]) * min(len(l.reports), maxDrift)
+	return max(own, own+remote+drift)
 }
 
 func (l *load) add(at sparflow.Endpoint, n int) { l.own[at] += n }
 
-// report takes the counts of another owner.
+// report sets the counts of another owner.
 func (l *load) report(peer string, counts map[sparflow.Endpoint]int) {
 	for at, n := range l.reports[peer] {
-		l.foreign[at] -= n
+		l.remote[at] -= n
 	}
 	l.reports[peer] = counts
 	for at, n := range counts {
-		l.foreign[at] += n
+		l.remote[at] += n
 	}
 	l.reported = true
 }
 
-// keep drops the reports of VMs that are not among names.
-func (l *load) keep(names map[string]bool) {
+// prune deletes the reports of VMs that are not members.
+func (l *load) prune(members map[string]bool) {
 	for peer := range l.reports {
-		if !names[peer] {
+		if !members[peer] {
 			l.report(peer, nil)
 			delete(l.reports, peer)
 		}
 	}
 }
 
-// tick starts a new interval after a round of reports.
+// tick starts a new interval for the estimate once the others have reported.
 func (l *load) tick() {
 	if !l.reported {
 		return
 	}
 	l.reported = false
-	clear(l.before)
+	clear(l.ownBefore)
 	for at, n := range l.own {
-		l.before[at] = n
+		l.ownBefore[at] = n
 	}
 }
 
-// Loads returns the open flows of the slots owned here, by service and upstream.
+// Loads returns the number of open flows in slots owned here, by service and upstream.
 func (e *Engine) Loads() map[string][]Count {
 	all := map[string][]Count{}
 	for name, g := range e.groups {
@@ -96,73 +96,73 @@
 	return all
 }
 
-// Report takes the loads of another owner.
+// Report sets the loads of another owner.
 func (e *Engine) Report(peer string, loads map[string][]Count) {
 	for name, counts := range loads {
 		g := e.groups[name]
 		if g == nil || peer == e.self {
 			continue
 		}
-		byHome := map[sparflow.Endpoint]int{}
+		flowsByUpstream := map[sparflow.Endpoint]int{}
 		for _, c := range counts {
-			byHome[c.At] = c.Flows
+			flowsByUpstream[c.At] = c.Flows
 		}
-		g.load.report(peer, byHome)
+		g.load.report(peer, flowsByUpstream)
 	}
 }
 
 // counted reports whether a record counts as load.
 func counted(f flow) bool { return f.state != flowClosed }
 
-// record stores f and keeps the load in step. The slot is owned here.
+// record stores a record of a slot owned here and updates the load.
 func (e *Engine) record(g *group, key sparflow.Key, f flow) {
 	old, known := g.flows[key]
 	if !known && len(g.flows) >= maxFlows {
 		return
 	}
 	if known && counted(old) {
-		g.load.add(old.home, -1)
+		g.load.add(old.upstream, -1)
 	}
 	if counted(f) {
-		g.load.add(f.home, 1)
+		g.load.add(f.upstream, 1)
 	}
 	g.flows[key] = f
 }
 
-// forget removes a record of an owned slot and tells the standbys.
+// forget deletes a record of an owned slot, here and at the standbys.
 func (e *Engine) forget(g *group, key sparflow.Key) {
 	f, known := g.flows[key]
 	if !known {
 		return
 	}
 	if counted(f) {
-		g.load.add(f.home, -1)
+		g.load.add(f.upstream, -1)
 	}
 	delete(g.flows, key)
 	if f.flags&flagReplicated != 0 {
-		e.tell(key.Slot(), Sync{Service: g.service.Name, Removed: []sparflow.Key{key}})
+		e.sendToStandbys(key.Slot(), Sync{Service: g.service.Name, Removed: []sparflow.Key{key}})
 	}
 }
 
-// recount computes the load of the owned slots anew.
+// recount recomputes the load of the owned slots from their records.
 func (g *group) recount() {
 	clear(g.load.own)
 	for key, f := range g.flows {
 		if counted(f) && g.slots[key.Slot()].phase == owning {
-			g.load.add(f.home, 1)
+			g.load.add(f.upstream, 1)
 		}
 	}
-	clear(g.load.before)
+	clear(g.load.ownBefore)
 	for at, n := range g.load.own {
-		g.load.before[at] = n
+		g.load.ownBefore[at] = n
 	}
 }
 
-// collectFlows drops records that nothing needs any more.
+// collectFlows deletes expired records and those of slots that this VM no longer serves.
 func (e *Engine) collectFlows(g *group) {
 	removed := map[int][]sparflow.Key{}
 	leaving := map[int]bool{}
-	for _, h := range g.handing {
+	for _, h := range g.handovers {
 		for _, n := range h.slots {
 			leaving[int(n)] = true
 		}
@@ -181,7 +181,7 @@
 				removed[n] = append(removed[n], key)
 			}
 			if counted(f) {
-				g.load.add(f.home, -1)
+				g.load.add(f.upstream, -1)
 			}
 			delete(g.flows, key)
 		case g.slots[n].phase == none && !g.slots[n].handed && e.now-g.slots[n].since > collectEvery:
@@ -190,10 +190,10 @@
 			delete(g.flows, key)
 		}
 	}
-	e.tellRemoved(g, removed)
+	e.sendRemoved(g, removed)
 }
 
-// flushEnded tells standbys which overrides have ended.
+// flushEnded has standbys delete the overrides that have ended.
 func (e *Engine) flushEnded(g *group) {
 	if len(g.ended) == 0 {
 		return
@@ -205,11 +205,11 @@
 		}
 	}
 	clear(g.ended)
-	e.tellRemoved(g, removed)
+	e.sendRemoved(g, removed)
 }
 
-// tellRemoved batches removals per standby.
-func (e *Engine) tellRemoved(g *group, removed map[int][]sparflow.Key) {
+// sendRemoved sends removals in batches to each standby.
+func (e *Engine) sendRemoved(g *group, removed map[int][]sparflow.Key) {
 	byPeer := map[string][]sparflow.Key{}
 	for _, n := range sorted(removed) {
 		for _, peer := range e.standbysOf(n) {
@@ -226,12 +226,12 @@
 	}
 }
 
-// expired reports whether the record of an owned slot has served its time.
+// expired reports whether the record of an owned slot can be deleted.
 func (e *Engine) expired(g *group, f flow) bool {
 	switch {
 	case f.state == flowClosed:
 		return e.age(f) > linger
-	case f.flags&(flagCallerIn|flagUpperIn) != 0:
+	case f.flags&(flagClientFIN|flagUpstreamFIN) != 0:
 		return e.age(f) > g.service.Silent
 	case f.state == flowOpening || f.state == flowHeld:
 		return e.age(f) > 2*time.Minute
--- a/internal/route/sparroute/message.go
+++ b/internal/route/sparroute/message.go
@@ -3,20 +3,21 @@
 import "github.com/oleanderspar/oleanderspar/internal/flow/sparflow"
 
 const (
-	// maxKeys bounds the keys of one message, so that it fits a datagram.
+	// maxKeys limits the keys of one message, so that it fits a datagram.
 	maxKeys = 100
-	// maxSlots bounds the slots of one message.
+	// maxSlots limits the slots of one message.
 	maxSlots = 400
 )
 
 type (
-	// Message is what the routing engines of two VMs tell each other. It is a
-	// sealed interface: Sync, Handover or Finish.
+	// Message is a message between the routing engines of two VMs. It is a sealed
+	// interface: Sync, Handover or Finish.
 	Message interface {
 		message()
 	}
 
-	// Sync tells a standby of overrides. Reset lists slots to forget first.
+	// Sync updates the overrides and default upstreams that a standby keeps. Reset lists
+	// the slots whose records are deleted first.
 	Sync struct {
 		Service string
 		Reset   []uint16
@@ -25,7 +26,7 @@
 		Removed []sparflow.Key
 	}
 
-	// Handover tells a new owner of the flows of slots it is about to get.
+	// Handover carries the flows of slots to their next owner. Reset is as in Sync.
 	Handover struct {
 		Service string
 		Reset   []uint16
@@ -38,7 +39,7 @@
 		Bases   []Base
 	}
 
-	// Base is the upstream that unknown flows of slots belong to.
+	// Base is the default upstream of slots, to which their flows without a record belong.
 	Base struct {
 		Home     sparflow.Endpoint
 		Complete bool // every open flow of the slots has a record
@@ -48,8 +49,8 @@
 	// Pins is a set of flows at one upstream.
 	Pins struct {
 		Home    sparflow.Endpoint
-		Opening bool // no answer from the upstream was seen yet
-		Doubt   bool // may have been opened elsewhere too, across a cut
+		Opening bool // no response from the upstream seen yet
+		Doubt   bool // may also be open at another upstream, across a network partition
 		Keys    []sparflow.Key
 	}
 )
@@ -58,46 +59,47 @@
 func (Handover) message() {}
 func (Finish) message()   {}
 
-// batch groups items by a head that they share, in the order of the first of each
-// group, and cuts the groups into chunks of bounded size.
-type batch[H comparable, T any] struct {
-	groups map[H][]T
-	order  []H
+// batch groups items by attributes that they share, in order of the first item of each
+// group.
+type batch[A comparable, T any] struct {
+	groups map[A][]T
+	order  []A
 }
 
-// pinHead is what the flows of one Pins share.
-type pinHead struct {
-	home    sparflow.Endpoint
-	opening bool
-	doubt   bool
+// flowAttrs are the attributes that the flows of one Pins share.
+type flowAttrs struct {
+	upstream   sparflow.Endpoint
+	opening    bool
+	unverified bool
 }
 
-// baseHead is what the slots of one Base share.
-type baseHead struct {
-	home     sparflow.Endpoint
+// slotAttrs are the attributes that the slots of one Base share.
+type slotAttrs struct {
+	upstream sparflow.Endpoint
 	complete bool
 }
 
-func (b *batch[H, T]) add(head H, item T) {
+func (b *batch[A, T]) add(attrs A, item T) {
 	if b.groups == nil {
-		b.groups = map[H][]T{}
+		b.groups = map[A][]T{}
 	}
-	if _, ok := b.groups[head]; !ok {
-		b.order = append(b.order, head)
+	if _, ok := b.groups[attrs]; !ok {
+		b.order = append(b.order, attrs)
 	}
-	b.groups[head] = append(b.groups[head], item)
+	b.groups[attrs] = append(b.groups[attrs], item)
 }
 
-// chunked returns what makes of each group, in lists of at most limit items in all.
-func chunked[H comparable, T, M any](b *batch[H, T], limit int, makes func(head H, items []T) M) [][]M {
+// chunks builds values from the groups of b and returns them in chunks of at most limit
+// items in all. A group that does not fit in a chunk continues in the next one.
+func chunks[A comparable, T, M any](b *batch[A, T], limit int, build func(attrs A, items []T) M) [][]M {
 	var all [][]M
 	var chunk []M
 	room := limit
-	for _, head := range b.order {
-		items := b.groups[head]
+	for _, attrs := range b.order {
+		items := b.groups[attrs]
 		for len(items) > 0 {
 			n := min(room, len(items))
-			chunk = append(chunk, makes(head, items[:n]))
+			chunk = append(chunk, build(attrs, items[:n]))
 			items = items[n:]
 			room -= n
 			if room == 0 {
@@ -112,25 +114,25 @@
 	return all
 }
 
-// pinsOf returns flows as lists of pins that each fit a message.
-func pinsOf(flows *batch[pinHead, sparflow.Key]) [][]Pins {
-	return chunked(flows, maxKeys, func(h pinHead, keys []sparflow.Key) Pins {
-		return Pins{Home: h.home, Opening: h.opening, Doubt: h.doubt, Keys: keys}
+// flowChunks returns flows as lists that each fit a message.
+func flowChunks(flows *batch[flowAttrs, sparflow.Key]) [][]Pins {
+	return chunks(flows, maxKeys, func(a flowAttrs, keys []sparflow.Key) Pins {
+		return Pins{Home: a.upstream, Opening: a.opening, Doubt: a.unverified, Keys: keys}
 	})
 }
 
-// headOf returns what a record tells other VMs beside its key.
-func headOf(f flow) pinHead {
-	return pinHead{home: f.home, opening: f.state == flowOpening, doubt: f.flags&flagDoubt != 0 || f.state == flowSearch}
+// attrsOf returns the part of a record that other VMs get beside its key.
+func attrsOf(f flow) flowAttrs {
+	return flowAttrs{upstream: f.upstream, opening: f.state == flowOpening, unverified: f.flags&flagUnverified != 0 || f.state == flowSearch}
 }
 
-// basesOf returns the bases of slots as lists that each fit a message.
-func basesOf(g *group, slots []uint16) [][]Base {
-	var b batch[baseHead, uint16]
+// defaultChunks returns the default upstreams of slots as lists that each fit a message.
+func defaultChunks(g *group, slots []uint16) [][]Base {
+	var b batch[slotAttrs, uint16]
 	for _, n := range slots {
-		b.add(baseHead{g.slots[n].base, g.slots[n].complete}, n)
+		b.add(slotAttrs{g.slots[n].defaultUpstream, g.slots[n].complete}, n)
 	}
-	return chunked(&b, maxSlots, func(h baseHead, slots []uint16) Base {
-		return Base{Home: h.home, Complete: h.complete, Slots: slots}
+	return chunks(&b, maxSlots, func(a slotAttrs, slots []uint16) Base {
+		return Base{Home: a.upstream, Complete: a.complete, Slots: slots}
 	})
 }
--- a/internal/route/sparroute/owner.go
+++ b/internal/route/sparroute/owner.go
@@ -9,15 +9,15 @@
 	"github.com/oleanderspar/oleanderspar/internal/state/sparchart"
 )
 
-// identity is a VM in one of its lives.
+// identity is one incarnation of a VM.
 type identity struct {
 	name        string
 	incarnation uint64
 }
 
-// Join takes a new view of the members. Slots that move to another owner are
-// handed over; slots that move here wait for their former owner, if it lives.
-func (e *Engine) Join(view sparmember.View) {
+// SetView sets the view of the members. Slots that move to another owner are handed
+// over. Slots that move here wait for their former owner, if it is still alive.
+func (e *Engine) SetView(view sparmember.View) {
 	if view.Digest == e.view.Digest && len(e.roles) > 0 {
 		e.view = view
 		return
@@ -26,17 +26,17 @@
 	e.view = view
 	e.me = view.Index(e.self)
 	e.roles = assignRoles(view)
-	e.keepReports()
+	e.pruneReports()
 	for _, name := range sorted(e.groups) {
 		e.reassign(e.groups[name], oldView, oldRoles)
 	}
 	e.cancelPending()
-	e.emit(Note{Kind: "view", Count: len(view.Members)})
+	e.emit(Event{Kind: "view", Count: len(view.Members)})
 }
 
-// assignRoles gives each slot an owner and two standbys. The first standby is the
-// VM that owns the slot if the owner goes; the second is in another failure
-// domain, so that the loss of a domain leaves one of the three.
+// assignRoles gives each slot an owner and two standbys. The first standby is the VM that
+// owns the slot if the owner fails. The three span two failure domains, if the view has
+// so many, so that the loss of one domain leaves one of them.
 func assignRoles(view sparmember.View) []role {
 	ranks := make([]uint64, len(view.Members))
 	for i, m := range view.Members {
@@ -71,7 +71,7 @@
 	return e.me >= 0 && (int(s[0]) == e.me || int(s[1]) == e.me)
 }
 
-// reassign moves the slots of one service to the roles of the view.
+// reassign applies the roles of the new view to the slots of one service.
 func (e *Engine) reassign(g *group, oldView sparmember.View, oldRoles []role) {
 	g.scanDue = true
 	leaving := map[string][]uint16{}
@@ -80,7 +80,7 @@
 		mine := e.me >= 0 && int(e.roles[n].owner) == e.me
 		switch {
 		case mine && sl.phase == owning:
-			if standbysChanged(oldView, oldRoles, e.view, e.roles, n) || sl.rebasing {
+			if standbysChanged(oldView, oldRoles, e.view, e.roles, n) || sl.changingDefault {
 				e.markDirty(g, n)
 			}
 		case mine && sl.phase == awaiting:
@@ -92,19 +92,19 @@
 				leaving[owner] = append(leaving[owner], uint16(n))
 				sl.handed, sl.resumed = false, false
 			}
-			e.yield(g, n)
+			e.followView(g, n)
 		}
 	}
 	for _, peer := range sorted(leaving) {
 		e.handOver(g, peer, leaving[peer])
 	}
 	g.recount()
-	e.releaseForeign(g)
+	e.releaseNotOwned(g)
 }
 
-// yield makes slot n follow the view where it is not owned here. With an empty
-// view nobody else owns it either, so an owner stays one.
-func (e *Engine) yield(g *group, n int) {
+// followView sets the phase of slot n, which the view does not assign to this VM. In an
+// empty view no other VM owns the slot either, so an owner keeps it.
+func (e *Engine) followView(g *group, n int) {
 	if e.roles[n].owner < 0 {
 		return
 	}
@@ -112,17 +112,17 @@
 	if e.isStandby(n) {
 		event = "standby"
 	}
-	e.enter(g, n, event)
+	e.transition(g, n, event)
 }
 
-// acquire starts the ownership of slot n.
+// acquire makes this VM the owner of slot n, or has it wait for the former owner.
 func (e *Engine) acquire(g *group, n int, former identity) {
 	sl := &g.slots[n]
 	switch {
 	case sl.handed:
 		e.takeOver(g, n)
 	case former.name != e.self && e.alive(former):
-		e.enter(g, n, "await")
+		e.transition(g, n, "await")
 		sl.from = former.name
 	default:
 		sl.complete = false
@@ -130,33 +130,33 @@
 	}
 }
 
-// takeOver makes this VM decide for slot n with what it knows.
+// takeOver makes this VM the owner of slot n with the records that it has.
 func (e *Engine) takeOver(g *group, n int) {
 	sl := &g.slots[n]
-	e.enter(g, n, "takeover")
-	sl.handed, sl.resumed, sl.rebasing, sl.from = false, false, false, ""
-	if sl.first != 0 && !g.carries[sl.base] {
-		sl.base, sl.complete, sl.informed = sl.first, true, true
+	e.transition(g, n, "takeover")
+	sl.handed, sl.resumed, sl.changingDefault, sl.from = false, false, false, ""
+	if sl.preferred != 0 && !g.carries[sl.defaultUpstream] {
+		sl.defaultUpstream, sl.complete, sl.overridesKnown = sl.preferred, true, true
 	}
 	e.markDirty(g, n)
 }
 
-func (e *Engine) enter(g *group, n int, event sparchart.Event) {
+func (e *Engine) transition(g *group, n int, event sparchart.Event) {
 	sl := &g.slots[n]
 	next := slotChart.Next(sl.phase, event)
 	if next != sl.phase {
 		sl.phase, sl.since = next, e.now
 	}
 	if next != owning {
-		sl.rebasing = false
+		sl.changingDefault = false
 	}
 	if next == none {
-		sl.informed = false
+		sl.overridesKnown = false
 	}
 }
 
-// formerOwner returns the owner of slot n before this view. A VM that had no view
-// asks who would own the slot without it.
+// formerOwner returns the owner of slot n in the last view. Without one, it returns the
+// VM that would own the slot if this VM were not a member.
 func (e *Engine) formerOwner(n int, oldView sparmember.View, oldRoles []role) identity {
 	if len(oldRoles) > 0 && oldRoles[n].owner >= 0 {
 		return identify(oldView.Members[oldRoles[n].owner])
@@ -175,18 +175,18 @@
 	return identity{name: m.VM.Name, incarnation: m.Incarnation}
 }
 
-// alive reports whether a VM, in this life of it, can still hand over.
+// alive reports whether this incarnation of a VM can still hand over.
 func (e *Engine) alive(id identity) bool {
-	return e.reaches(func(m sparmember.Member) bool { return identify(m) == id })
+	return e.inView(func(m sparmember.Member) bool { return identify(m) == id })
 }
 
 // present reports whether the VM called name can still hand over.
 func (e *Engine) present(name string) bool {
-	return e.reaches(func(m sparmember.Member) bool { return m.VM.Name == name })
+	return e.inView(func(m sparmember.Member) bool { return m.VM.Name == name })
 }
 
-// reaches reports whether a member or a leaving VM of the view matches.
-func (e *Engine) reaches(match func(m sparmember.Member) bool) bool {
+// inView reports whether a member or a leaving VM of the view matches.
+func (e *Engine) inView(match func(m sparmember.Member) bool) bool {
 	return slices.ContainsFunc(e.view.Members, match) || slices.ContainsFunc(e.view.Leaving, match)
 }
 
@@ -207,14 +207,14 @@
 	return false
 }
 
-// cancelPending gives up what waited under the former view: a rebase is planned
-// anew, an opening of a slot that has moved is sent to its new owner.
+// cancelPending cancels changes that were pending in the last view. Changes of default
+// upstreams are started again later. Openings of slots that have moved go to the new owner.
 func (e *Engine) cancelPending() {
 	kept := e.pending[:0]
 	for _, p := range e.pending {
 		if p.key == 0 {
 			for _, n := range p.slots {
-				p.group.slots[n].rebasing = false
+				p.group.slots[n].changingDefault = false
 			}
 			continue
 		}
@@ -227,9 +227,9 @@
 	e.pending = kept
 }
 
-// releaseForeign sends held openings of slots that are no longer decided here
-// through Forward again.
-func (e *Engine) releaseForeign(g *group) {
+// releaseNotOwned releases the held openings of slots that are no longer owned or awaited
+// here.
+func (e *Engine) releaseNotOwned(g *group) {
 	for _, key := range sorted(g.held) {
 		if phase := g.slots[key.Slot()].phase; phase != owning && phase != awaiting {
 			e.release(g, key)
@@ -237,29 +237,29 @@
 	}
 }
 
-// keepReports drops the loads of VMs that own nothing any more.
-func (e *Engine) keepReports() {
-	names := map[string]bool{}
+// pruneReports deletes the loads of VMs that are no longer members.
+func (e *Engine) pruneReports() {
+	members := map[string]bool{}
 	for _, m := range e.view.Members {
-		names[m.VM.Name] = true
+		members[m.VM.Name] = true
 	}
 	for _, g := range e.groups {
-		g.load.keep(names)
+		g.load.prune(members)
 	}
 }
 
-// Owned returns the number of slots decided here, over all services, and how
-// many wait for a former owner or are to be passed on.
-func (e *Engine) Owned() (decided, waiting int) {
+// Owned returns the number of slots owned by this VM over all services, and how many
+// wait for a former owner or are to be passed on.
+func (e *Engine) Owned() (owned, waiting int) {
 	for _, g := range e.groups {
 		for n := range g.slots {
 			switch sl := &g.slots[n]; {
 			case sl.phase == owning:
-				decided++
+				owned++
 			case sl.phase == awaiting || sl.handed:
 				waiting++
 			}
 		}
 	}
-	return decided, waiting
+	return owned, waiting
 }
--- a/internal/route/sparroute/place.go
+++ b/internal/route/sparroute/place.go
@@ -9,125 +9,126 @@
 )
 
 const (
-	// retryAfter is the age in seconds at which an unanswered SYN that comes again
-	// counts against its upstream and may go elsewhere.
+	// retryAfter is the age in seconds from which a retransmitted SYN counts as a failure
+	// of its upstream and may go to another one.
 	retryAfter = 2
 )
 
-// open decides on an opening at the owner of its slot.
+// open decides on a SYN, or the first packet of a UDP flow, at the owner of its slot.
 func (e *Engine) open(g *group, sl *slot, key sparflow.Key, f flow, known bool) Verdict {
 	if known {
 		switch f.state {
 		case flowHeld:
 			return e.openHeld(g, key, f)
 		case flowOpening:
-			return e.openAgain(g, sl, key, f)
+			return e.openRetransmitted(g, sl, key, f)
 		default:
 			e.forget(g, key)
-			if e.opens(g, f.home) {
+			if e.opens(g, f.upstream) {
 				e.stats.Openings++
-				return e.commit(g, sl, key, f.home, 0)
+				return e.commit(g, sl, key, f.upstream, 0)
 			}
 		}
 	}
 	return e.place(g, sl, key, 0)
 }
 
-// openHeld passes an opening on once its standbys have the record.
+// openHeld forwards an opening once the standbys have its record.
 func (e *Engine) openHeld(g *group, key sparflow.Key, f flow) Verdict {
 	for _, p := range e.pending {
 		if p.group == g && p.key == key {
 			return e.hold(g, key)
 		}
 	}
-	return e.start(g, key, f)
+	return e.forwardOpening(g, key, f)
 }
 
-// openAgain handles a SYN that comes again. The first attempt may be under way, so
-// it goes to the same home until that has had time to answer.
-func (e *Engine) openAgain(g *group, sl *slot, key sparflow.Key, f flow) Verdict {
-	if e.seconds()-f.at < retryAfter {
-		return e.toHome(g, key, f.home)
+// openRetransmitted decides on a retransmitted SYN. The response to the first one may be
+// on its way, so it goes to the same upstream until that has had time to respond.
+func (e *Engine) openRetransmitted(g *group, sl *slot, key sparflow.Key, f flow) Verdict {
+	if e.seconds()-f.changed < retryAfter {
+		return e.toUpstream(g, key, f.upstream)
 	}
-	e.failed(g, f.home)
-	if e.opens(g, f.home) && e.healthy(g, f.home) {
-		return e.toHome(g, key, f.home)
+	e.recordFailure(g, f.upstream)
+	if e.opens(g, f.upstream) && e.healthy(g, f.upstream) {
+		return e.toUpstream(g, key, f.upstream)
 	}
 	e.stats.Retries++
 	e.forget(g, key)
-	return e.place(g, sl, key, f.home)
+	return e.place(g, sl, key, f.upstream)
 }
 
-// start passes an opening on to the home of its record.
-func (e *Engine) start(g *group, key sparflow.Key, f flow) Verdict {
-	f.state, f.at = flowOpening, e.seconds()
-	f.flags &^= flagCallerIn | flagUpperIn
-	if e.partial {
-		f.flags |= flagDoubt
+// forwardOpening forwards an opening to the upstream of its record.
+func (e *Engine) forwardOpening(g *group, key sparflow.Key, f flow) Verdict {
+	f.state, f.changed = flowOpening, e.seconds()
+	f.flags &^= flagClientFIN | flagUpstreamFIN
+	if e.viewIncomplete {
+		f.flags |= flagUnverified
 	}
 	if g.service.Proto == sparflow.UDP {
 		f.state = flowOpen
 	}
 	e.record(g, key, f)
-	return Verdict{Action: ToUpstream, At: f.home, Key: key}
+	return Verdict{Action: ToUpstream, At: f.upstream, Key: key}
 }
 
-// place chooses the home of a new flow. It avoids the upstream given, if any.
+// place chooses the upstream of a new flow and opens it there. avoid is an upstream not
+// to choose, or 0.
 func (e *Engine) place(g *group, sl *slot, key sparflow.Key, avoid sparflow.Endpoint) Verdict {
 	e.stats.Openings++
-	home := e.choose(g, sl, key, avoid)
-	if home == 0 {
+	upstream := e.choose(g, sl, key, avoid)
+	if upstream == 0 {
 		return e.refuse(NoUpstream)
 	}
-	return e.commit(g, sl, key, home, avoid)
+	return e.commit(g, sl, key, upstream, avoid)
 }
 
-// commit opens a flow at home. Where that is an override its standbys come first, and
-// while the view is disputed the base takes it instead.
-func (e *Engine) commit(g *group, sl *slot, key sparflow.Key, home, avoid sparflow.Endpoint) Verdict {
-	f := flow{home: home, at: e.seconds()}
-	if home == sl.base {
-		return e.start(g, key, f)
+// commit opens a flow at an upstream. An override is first sent to the standbys. While the
+// view is not settled, the flow goes to the default upstream instead.
+func (e *Engine) commit(g *group, sl *slot, key sparflow.Key, upstream, avoid sparflow.Endpoint) Verdict {
+	f := flow{upstream: upstream, changed: e.seconds()}
+	if upstream == sl.defaultUpstream {
+		return e.forwardOpening(g, key, f)
 	}
 	if !e.view.Settled {
-		if sl.base != avoid && e.opens(g, sl.base) {
-			f.home = sl.base
-			return e.start(g, key, f)
+		if sl.defaultUpstream != avoid && e.opens(g, sl.defaultUpstream) {
+			f.upstream = sl.defaultUpstream
+			return e.forwardOpening(g, key, f)
 		}
 		return e.drop(NotSettled)
 	}
 	e.stats.Overrides++
 	f.flags |= flagReplicated
 	delete(g.ended, key)
-	needs := e.tell(key.Slot(), Sync{
+	acks := e.sendToStandbys(key.Slot(), Sync{
 		Service: g.service.Name,
-		Pins:    []Pins{{Home: home, Keys: []sparflow.Key{key}}},
+		Pins:    []Pins{{Home: upstream, Keys: []sparflow.Key{key}}},
 	})
-	if len(needs) == 0 {
-		return e.start(g, key, f)
+	if len(acks) == 0 {
+		return e.forwardOpening(g, key, f)
 	}
 	f.state = flowHeld
 	e.record(g, key, f)
-	e.pending = append(e.pending, pending{group: g, key: key, home: home, needs: needs})
+	e.pending = append(e.pending, pending{group: g, key: key, upstream: upstream, acks: acks})
 	return e.hold(g, key)
 }
 
-// choose returns the best upstream for a new flow, or 0 where none opens. The
-// first candidate of the slot wins unless it is unwell or above its bound; then the
-// next in rendezvous order for the key.
+// choose returns the best upstream for a new flow, or 0 if none takes new flows. This is
+// the preferred upstream of the slot, unless it is unhealthy or above its bound, and then
+// the next one in rendezvous order for the key.
 func (e *Engine) choose(g *group, sl *slot, key sparflow.Key, avoid sparflow.Endpoint) sparflow.Endpoint {
 	bound := e.bounds(g)
-	if sl.first != avoid && e.usable(g, sl.first, bound) {
-		return sl.first
+	if sl.preferred != avoid && e.usable(g, sl.preferred, bound) {
+		return sl.preferred
 	}
-	pick := sparrank.Best(placement(key), g.names, func(i int) bool {
+	pick := sparrank.Best(placement(key), g.ranks, func(i int) bool {
 		at := g.service.Upstreams[i].At
 		return at != avoid && e.usable(g, at, bound)
 	})
 	if pick >= 0 {
 		return g.service.Upstreams[pick].At
 	}
-	return e.lightest(g)
+	return e.leastLoaded(g)
 }
 
 // usable reports whether a new flow may go to the upstream at.
@@ -138,13 +139,14 @@
 	return float64(g.load.estimate(at)+1) <= b.limit(e.weight(g, at))
 }
 
-// lightest returns the least loaded upstream that opens, healthy ones first.
-func (e *Engine) lightest(g *group) sparflow.Endpoint {
+// leastLoaded returns the least loaded upstream that takes new flows, or 0. Healthy ones
+// take precedence.
+func (e *Engine) leastLoaded(g *group) sparflow.Endpoint {
 	var best sparflow.Endpoint
 	least := math.MaxInt
-	for _, wellOnly := range []bool{true, false} {
+	for _, healthyOnly := range []bool{true, false} {
 		for _, u := range g.service.Upstreams {
-			if !e.opens(g, u.At) || wellOnly && !e.healthy(g, u.At) {
+			if !e.opens(g, u.At) || healthyOnly && !e.healthy(g, u.At) {
 				continue
 			}
 			if n := g.load.estimate(u.At); n < least {
@@ -158,13 +160,13 @@
 	return 0
 }
 
-// opens reports whether settings let the upstream take openings.
+// opens reports whether the settings let an upstream take new flows.
 func (e *Engine) opens(g *group, at sparflow.Endpoint) bool {
 	u, ok := g.service.Upstream(at)
 	return ok && u.Opens()
 }
 
-// bound is the number of flows per unit of weight that an upstream may hold.
+// bound is the number of flows per unit of weight that an upstream may have.
 type bound float64
 
 func (b bound) limit(weight float64) float64 {
@@ -186,13 +188,14 @@
 	return bound(float64(total) / weight * (1 + g.service.Spread))
 }
 
-// tell queues m for every standby of slot and returns what to wait for.
-func (e *Engine) tell(slot int, m Message) []need {
-	var needs []need
+// sendToStandbys sends m to every standby of slot and returns the acknowledgements to
+// wait for.
+func (e *Engine) sendToStandbys(slot int, m Message) []ack {
+	var acks []ack
 	for _, peer := range e.standbysOf(slot) {
-		needs = append(needs, need{peer: peer, seq: e.queue(peer, m)})
+		acks = append(acks, ack{peer: peer, seq: e.queue(peer, m)})
 	}
-	return needs
+	return acks
 }
 
 // standbysOf returns the names of the standbys of slot in the view.
@@ -209,13 +212,13 @@
 	return names
 }
 
-// settle completes what every standby has acknowledged. A standby that has left
-// the view is not waited for.
-func (e *Engine) settle() {
+// completePending completes the changes that every standby has acknowledged. Standbys
+// that have left the view do not count.
+func (e *Engine) completePending() {
 	waiting := e.pending[:0]
 	var done []pending
 	for _, p := range e.pending {
-		if e.satisfied(p.needs) {
+		if e.allAcked(p.acks) {
 			done = append(done, p)
 			continue
 		}
@@ -224,16 +227,16 @@
 	e.pending = waiting
 	for _, p := range done {
 		if p.key == 0 {
-			e.finishRebase(p)
+			e.finishDefaultChange(p)
 			continue
 		}
 		e.release(p.group, p.key)
 	}
 }
 
-func (e *Engine) satisfied(needs []need) bool {
-	for _, n := range needs {
-		if e.view.Index(n.peer) >= 0 && e.acked(n.peer) < n.seq {
+func (e *Engine) allAcked(acks []ack) bool {
+	for _, a := range acks {
+		if e.view.Index(a.peer) >= 0 && e.acked(a.peer) < a.seq {
 			return false
 		}
 	}
@@ -247,14 +250,14 @@
 	}
 }
 
-// Acknowledged says that a peer has taken more messages.
+// Acknowledged completes pending changes after a peer has acknowledged messages.
 func (e *Engine) Acknowledged() {
 	if len(e.pending) > 0 {
-		e.settle()
+		e.completePending()
 	}
 }
 
-// age returns how long ago the record changed.
+// age returns the time since the last change of the record.
 func (e *Engine) age(f flow) time.Duration {
-	return time.Duration(e.seconds()-f.at) * time.Second
+	return time.Duration(e.seconds()-f.changed) * time.Second
 }
--- a/internal/route/sparroute/search.go
+++ b/internal/route/sparroute/search.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// searchesPerSecond bounds the unknown flows that an owner looks for, since packets of
-	// flows that never were cost one segment to each upstream.
+	// searchesPerSecond limits the searches that an owner starts, since a packet of a flow
+	// that never existed costs one segment to each upstream.
 	searchesPerSecond = 2000
-	// searchRounds is how often a search goes through all upstreams: the order shifts
-	// under it where upstreams come or go meanwhile.
+	// searchRounds is how often a search tries all upstreams. Their order changes if
+	// upstreams join or leave during the search.
 	searchRounds = 2
-	// searchWait is how long after its last packet a search waits for a RST.
+	// searchWait is how long a search waits for a RST after the last packet of its flow.
 	searchWait = 5 * time.Second
 )
 
-// startSearch looks for the home of a TCP flow that the owner has no record of: it is
-// older than the records here, or was opened on the other side of a cut. A kernel answers
-// a segment of a connection that it does not have with RST and passes no data on, so
-// a packet of the flow may try one upstream after the other: the base first, then the
-// order in which overrides are placed. The caller sees only the last of these RSTs.
+// startSearch starts a search for the upstream of a TCP flow without a record. Such a flow
+// is older than the records here, or was opened on the other side of a network partition.
+// A kernel that does not have the connection answers a segment with RST and delivers no
+// data, so a packet of the flow can try one upstream after the other: the default upstream
+// first, then the order in which overrides are placed. The client sees only the last RST.
 func (e *Engine) startSearch(g *group, sl *slot, key sparflow.Key) Verdict {
 	if !e.maySearch() {
-		return e.toBase(g, sl, key)
+		return e.toDefault(g, sl, key)
 	}
-	f := flow{at: e.seconds(), state: flowSearch, home: sl.base}
-	if !g.carries[sl.base] {
-		if f = e.nextCandidate(g, key, f); f.home == 0 {
+	f := flow{changed: e.seconds(), state: flowSearch, upstream: sl.defaultUpstream}
+	if !g.carries[sl.defaultUpstream] {
+		if f = e.nextCandidate(g, key, f); f.upstream == 0 {
 			return e.abort()
 		}
 	}
 	e.record(g, key, f)
-	return Verdict{Action: ToUpstream, At: f.home, Key: key, Keep: true}
+	return Verdict{Action: ToUpstream, At: f.upstream, Key: key, Keep: true}
 }
 
-// maySearch counts searches against their limit.
+// maySearch reports whether another search is within the limit, and counts it.
 func (e *Engine) maySearch() bool {
 	if e.now-e.searchesFrom >= time.Second {
 		e.searchesFrom, e.searches = e.now, 0
@@ -50,16 +50,16 @@
 	return true
 }
 
-// searched follows the answer of the upstream that a search has reached. It reports
-// whether the caller may see it.
-func (e *Engine) searched(g *group, key sparflow.Key, s Segment, f flow) bool {
+// trackSearch continues or ends a search by the response of the upstream tried. It reports
+// whether the response may reach the client.
+func (e *Engine) trackSearch(g *group, key sparflow.Key, s Segment, f flow) bool {
 	if s.Kind != Resetting {
 		f.state = flowOpen
 		e.record(g, key, f)
 		return true
 	}
 	next := e.nextCandidate(g, key, f)
-	if next.home == 0 {
+	if next.upstream == 0 {
 		e.forget(g, key)
 		return true
 	}
@@ -68,32 +68,31 @@
 	return false
 }
 
-// endSearch takes the upstream reached for the home of the flow once it has not answered
-// with RST for a while. A later RST starts the search again.
+// endSearch ends a search at the upstream tried last if it has sent no RST for searchWait.
+// A later RST resumes the search.
 func (e *Engine) endSearch(g *group, key sparflow.Key, f flow) {
 	if e.age(f) < searchWait {
 		return
 	}
 	f.state = flowOpen
-	f.flags |= flagDoubt
+	f.flags |= flagUnverified
 	e.record(g, key, f)
 }
 
-// nextCandidate returns f at the next upstream to try, at home 0 where all have been
-// tried.
+// nextCandidate returns f with the next upstream to try, or 0 if all have been tried.
 func (e *Engine) nextCandidate(g *group, key sparflow.Key, f flow) flow {
-	order := sparrank.Order(placement(key), g.names)
+	order := sparrank.Order(placement(key), g.ranks)
 	for int(f.tried) < searchRounds*len(order) {
 		at := g.service.Upstreams[order[int(f.tried)%len(order)]].At
 		f.tried++
-		if at != f.home && g.carries[at] {
-			f.home = at
+		if at != f.upstream && g.carries[at] {
+			f.upstream = at
 			return f
 		}
 	}
-	f.home = 0
+	f.upstream = 0
 	return f
 }
 
-// placement returns the number by which overrides of key rank upstreams.
+// placement returns the number by which upstreams are ranked for overrides of key.
 func placement(key sparflow.Key) int { return int(key >> 12 & (1<<31 - 1)) }
--- a/internal/route/sparroute/settings.go
+++ b/internal/route/sparroute/settings.go
@@ -10,11 +10,11 @@
 // Apply puts settings in force.
 func (e *Engine) Apply(s sparconfig.Snapshot) {
 	if !e.applied {
-		e.applied, e.first = true, s.Revision
+		e.applied, e.firstRevision = true, s.Revision
 	}
 	e.snapshot = s
-	clear(e.accept)
-	clear(e.answer)
+	clear(e.byService)
+	clear(e.byUpstream)
 	for name := range e.groups {
 		if s.Service(name) == nil {
 			delete(e.groups, name)
@@ -31,14 +31,14 @@
 	}
 	for name, g := range e.groups {
 		g.service = s.Service(name)
-		e.accept[makeAddress(g.service.Proto, g.service.Address)] = g
+		e.byService[makeAddress(g.service.Proto, g.service.Address)] = g
 		for _, u := range g.service.Upstreams {
-			e.answer[makeAddress(g.service.Proto, u.At)] = g
+			e.byUpstream[makeAddress(g.service.Proto, u.At)] = g
 		}
 	}
 }
 
-// dropPending forgets what waits for a service that is no more.
+// dropPending cancels the pending changes of a service that has been removed.
 func (e *Engine) dropPending(service string) {
 	kept := e.pending[:0]
 	for _, p := range e.pending {
@@ -49,21 +49,21 @@
 	e.pending = kept
 }
 
-// create starts a service. A service younger than this engine's first settings
-// has no flows from before, so its records are complete from the start.
+// create adds a service. One that is newer than the first settings of this engine has no
+// older flows, so its records are complete from the start.
 func (e *Engine) create(service *sparconfig.Service) {
 	g := &group{
 		service: service, slots: make([]slot, sparflow.Slots),
 		carries: map[sparflow.Endpoint]bool{}, flows: map[sparflow.Key]flow{},
 		load: newLoad(), health: map[sparflow.Endpoint]*sparhealth.Health{}, held: map[sparflow.Key]bool{}, dirty: map[uint16]bool{}, ended: map[sparflow.Key]bool{},
 	}
-	fresh := service.Revision > e.first
+	fresh := service.Revision > e.firstRevision
 	e.groups[service.Name] = g
 	e.refresh(g, true)
 	for n := range g.slots {
 		sl := &g.slots[n]
 		sl.phase = slotChart.Start()
-		sl.base, sl.since = sl.first, e.now
+		sl.defaultUpstream, sl.since = sl.preferred, e.now
 		sl.complete = fresh
 		if len(e.roles) == 0 {
 			continue
@@ -73,43 +73,44 @@
 		} else if e.isStandby(n) {
 			sl.phase = slotChart.Next(sl.phase, "standby")
 		}
-		sl.informed = fresh && sl.phase != none
+		sl.overridesKnown = fresh && sl.phase != none
 	}
 }
 
-// update takes a changed document. Bases stay until their owners move them.
+// update applies a changed document. Default upstreams stay until the owners of their
+// slots change them.
 func (e *Engine) update(g *group, service *sparconfig.Service) {
 	g.service = service
 	e.refresh(g, false)
 }
 
-// refresh computes what follows from the document of the service.
-func (e *Engine) refresh(g *group, fresh bool) {
+// refresh recomputes the state that depends on the document of the service.
+func (e *Engine) refresh(g *group, created bool) {
 	g.scanDue = true
-	e.updateHealth(g, fresh)
-	g.names = g.names[:0]
+	e.updateHealth(g, created)
+	g.ranks = g.ranks[:0]
 	for _, u := range g.service.Upstreams {
-		g.names = append(g.names, sparrank.Name(u.At.String()))
+		g.ranks = append(g.ranks, sparrank.Name(u.At.String()))
 	}
-	var open []uint64
-	var homes []sparflow.Endpoint
+	var openRanks []uint64
+	var open []sparflow.Endpoint
 	for i, u := range g.service.Upstreams {
 		if u.Opens() {
-			open = append(open, g.names[i])
-			homes = append(homes, u.At)
+			openRanks = append(openRanks, g.ranks[i])
+			open = append(open, u.At)
 		}
 	}
-	shares := sparrank.Share(sparflow.Slots, open)
+	shares := sparrank.Share(sparflow.Slots, openRanks)
 	for n := range g.slots {
-		g.slots[n].first = 0
+		g.slots[n].preferred = 0
 		if shares != nil {
-			g.slots[n].first = homes[shares[n]]
+			g.slots[n].preferred = open[shares[n]]
 		}
 	}
 	e.refreshCarries(g)
 }
 
-// refreshCarries computes which upstreams may carry flows now.
+// refreshCarries recomputes which upstreams may carry flows.
 func (e *Engine) refreshCarries(g *group) {
 	before := len(g.carries)
 	kept := 0
@@ -123,31 +124,31 @@
 			kept++
 		}
 	}
-	g.lost = g.lost || kept < before
+	g.anyRemoved = g.anyRemoved || kept < before
 	g.carries = carries
-	e.abandon(g)
+	e.replaceRemovedDefaults(g)
 }
 
-// abandon moves the bases of owned slots off upstreams that carry nothing any
-// more. The flows without a record were there and are lost with them.
-func (e *Engine) abandon(g *group) {
+// replaceRemovedDefaults replaces default upstreams of owned slots that may no longer carry
+// flows. Flows without a record were at these upstreams and are lost with them.
+func (e *Engine) replaceRemovedDefaults(g *group) {
 	for n := range g.slots {
 		sl := &g.slots[n]
-		if sl.phase != owning || sl.first == 0 || g.carries[sl.base] {
+		if sl.phase != owning || sl.preferred == 0 || g.carries[sl.defaultUpstream] {
 			continue
 		}
-		sl.base, sl.complete, sl.rebasing = sl.first, true, false
+		sl.defaultUpstream, sl.complete, sl.changingDefault = sl.preferred, true, false
 		e.markDirty(g, n)
 	}
 }
 
-// expireDrains ends the drains whose time is up.
+// expireDrains ends the drains that have reached their deadline.
 func (e *Engine) expireDrains(g *group) {
 	for _, u := range g.service.Upstreams {
 		if !g.carries[u.At] || !u.Gone(e.wall) {
 			continue
 		}
-		e.emit(Note{
+		e.emit(Event{
 			Kind: "drain-ended", Service: g.service.Name, Subject: u.At.String(), Count: g.load.own[u.At],
 		})
 		e.refreshCarries(g)
--- a/internal/route/sparroute/sync.go
+++ b/internal/route/sparroute/sync.go
@@ -6,13 +6,13 @@
 	"github.com/oleanderspar/oleanderspar/internal/flow/sparflow"
 )
 
-// markDirty has the standbys of slot n told everything about it at the next tick.
+// markDirty has a full copy of slot n sent to its standbys at the next scan.
 func (e *Engine) markDirty(g *group, n int) {
 	g.dirty[uint16(n)] = true
 	g.scanDue = true
 }
 
-// flush tells standbys about slots that have changed hands or standbys.
+// flush sends full copies of slots with a new owner or new standbys to the standbys.
 func (e *Engine) flush(g *group) {
 	if len(g.dirty) == 0 {
 		return
@@ -32,38 +32,38 @@
 		for chunk := range slices.Chunk(slots, maxSlots) {
 			e.queue(peer, Sync{Service: g.service.Name, Reset: chunk})
 		}
-		e.describe(g, peer, slots, func(f flow, sl *slot) bool { return f.home != sl.base })
-		for _, chunk := range basesOf(g, slots) {
+		e.sendFlows(g, peer, slots, func(f flow, sl *slot) bool { return f.upstream != sl.defaultUpstream })
+		for _, chunk := range defaultChunks(g, slots) {
 			e.queue(peer, Sync{Service: g.service.Name, Bases: chunk})
 		}
 	}
 }
 
-// describe tells a standby the flows that pick selects.
-func (e *Engine) describe(g *group, peer string, slots []uint16, pick func(f flow, sl *slot) bool) {
+// sendFlows sends the records of slots that pick selects to a standby.
+func (e *Engine) sendFlows(g *group, peer string, slots []uint16, pick func(f flow, sl *slot) bool) {
 	chosen := slotSet(slots)
-	var pins batch[pinHead, sparflow.Key]
+	var flows batch[flowAttrs, sparflow.Key]
 	for key, f := range g.flows {
 		sl := &g.slots[key.Slot()]
 		if !chosen[uint16(key.Slot())] || !counted(f) || !pick(f, sl) {
 			continue
 		}
-		pins.add(headOf(f), key)
+		flows.add(attrsOf(f), key)
 		f.flags |= flagReplicated
 		g.flows[key] = f
 	}
-	for _, chunk := range pinsOf(&pins) {
+	for _, chunk := range flowChunks(&flows) {
 		e.queue(peer, Sync{Service: g.service.Name, Pins: chunk})
 	}
 }
 
-// receiveSync takes what an owner tells its standby.
+// receiveSync applies an update from the owner of slots to their standby.
 func (e *Engine) receiveSync(g *group, m Sync) {
 	e.reset(g, m.Reset)
 	for _, p := range m.Pins {
-		f := flow{home: p.Home, at: e.seconds(), state: flowOpen, flags: flagReplicated}
+		f := flow{upstream: p.Home, changed: e.seconds(), state: flowOpen, flags: flagReplicated}
 		if p.Doubt {
-			f.flags |= flagDoubt
+			f.flags |= flagUnverified
 		}
 		for _, key := range p.Keys {
 			e.adopt(g, key, f)
@@ -72,7 +72,7 @@
 	for _, b := range m.Bases {
 		for _, n := range b.Slots {
 			if int(n) < len(g.slots) && g.slots[n].phase != owning && !g.slots[n].handed {
-				g.slots[n].base, g.slots[n].informed = b.Home, true
+				g.slots[n].defaultUpstream, g.slots[n].overridesKnown = b.Home, true
 			}
 		}
 	}
@@ -83,15 +83,15 @@
 	}
 }
 
-// rebase moves the base of owned slots to the first candidate of the settings.
-// The flows at the old base become overrides; the move takes effect once the
-// standbys know them. Slots with flows that have no record cannot move: those
-// flows are found by their base. It reports whether slots have to wait.
-func (e *Engine) rebase(g *group) (waiting bool) {
-	byHome := map[sparflow.Endpoint][]uint16{}
+// changeDefaults changes the default upstream of owned slots to their preferred upstream.
+// Flows at the old default become overrides, and the change takes effect once the standbys
+// have their records. Slots with flows without a record cannot change, as only the default
+// upstream tells where those flows are. It reports whether some slots have to wait.
+func (e *Engine) changeDefaults(g *group) (waiting bool) {
+	slotsByUpstream := map[sparflow.Endpoint][]uint16{}
 	for n := range g.slots {
 		sl := &g.slots[n]
-		if sl.phase != owning || sl.base == sl.first || sl.first == 0 || sl.rebasing {
+		if sl.phase != owning || sl.defaultUpstream == sl.preferred || sl.preferred == 0 || sl.changingDefault {
 			continue
 		}
 		if !e.view.Settled {
@@ -104,44 +104,44 @@
 			waiting = true
 			continue
 		}
-		sl.rebasing = true
-		byHome[sl.first] = append(byHome[sl.first], uint16(n))
+		sl.changingDefault = true
+		slotsByUpstream[sl.preferred] = append(slotsByUpstream[sl.preferred], uint16(n))
 	}
-	for _, home := range sorted(byHome) {
-		e.startRebase(g, home, byHome[home])
+	for _, upstream := range sorted(slotsByUpstream) {
+		e.startDefaultChange(g, upstream, slotsByUpstream[upstream])
 	}
 	return waiting
 }
 
-func (e *Engine) startRebase(g *group, home sparflow.Endpoint, slots []uint16) {
+func (e *Engine) startDefaultChange(g *group, upstream sparflow.Endpoint, slots []uint16) {
 	byPeer := map[string][]uint16{}
 	for _, n := range slots {
 		for _, peer := range e.standbysOf(int(n)) {
 			byPeer[peer] = append(byPeer[peer], n)
 		}
 	}
-	p := pending{group: g, home: home, slots: slots}
+	p := pending{group: g, upstream: upstream, slots: slots}
 	for _, peer := range sorted(byPeer) {
 		list := byPeer[peer]
-		e.describe(g, peer, list, func(f flow, sl *slot) bool { return f.home == sl.base })
+		e.sendFlows(g, peer, list, func(f flow, sl *slot) bool { return f.upstream == sl.defaultUpstream })
 		var seq uint64
 		for chunk := range slices.Chunk(list, maxSlots) {
-			base := Base{Home: home, Complete: true, Slots: chunk}
+			base := Base{Home: upstream, Complete: true, Slots: chunk}
 			seq = e.queue(peer, Sync{Service: g.service.Name, Bases: []Base{base}})
 		}
-		p.needs = append(p.needs, need{peer: peer, seq: seq})
+		p.acks = append(p.acks, ack{peer: peer, seq: seq})
 	}
 	e.pending = append(e.pending, p)
 }
 
-func (e *Engine) finishRebase(p pending) {
+func (e *Engine) finishDefaultChange(p pending) {
 	moved := 0
 	for _, n := range p.slots {
 		sl := &p.group.slots[n]
-		if sl.phase == owning && sl.rebasing {
-			sl.base, sl.rebasing = p.home, false
+		if sl.phase == owning && sl.changingDefault {
+			sl.defaultUpstream, sl.changingDefault = p.upstream, false
 			moved++
 		}
 	}
-	e.emit(Note{Kind: "rebase", Service: p.group.service.Name, Subject: p.home.String(), Count: moved})
+	e.emit(Event{Kind: "rebase", Service: p.group.service.Name, Subject: p.upstream.String(), Count: moved})
 }
--- a/internal/route/sparroute/verdict.go
+++ b/internal/route/sparroute/verdict.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// Drop discards the packet; its sender sends it again.
+	// Drop discards the packet. Its sender retransmits it.
 	Drop Action = iota
 	// ToUpstream rewrites the destination to At.
 	ToUpstream
@@ -15,24 +15,26 @@
 	ToPeer
 	// Hold keeps the packet until a Release for Key.
 	Hold
-	// Refuse answers an opening that no upstream has seen with RST: not run.
+	// Refuse answers an opening that no upstream has received with RST. No request of the
+	// flow has run.
 	Refuse
-	// Abort answers a packet whose upstream is gone with RST: outcome unknown.
+	// Abort answers a packet whose upstream has been removed with RST. The outcome of the
+	// request is unknown.
 	Abort
-	// AbortCaller turns a packet of a gone upstream into RST for its caller.
+	// AbortCaller replaces a packet from a removed upstream by RST to its client.
 	AbortCaller
 )
 
 const (
 	// Data is a packet within a flow.
 	Data Kind = iota
-	// Opening is a SYN without ACK.
+	// Opening is SYN without ACK.
 	Opening
-	// Accepting is a SYN with ACK.
+	// Accepting is SYN with ACK.
 	Accepting
-	// Finishing is a FIN.
+	// Finishing is FIN.
 	Finishing
-	// Resetting is a RST.
+	// Resetting is RST.
 	Resetting
 )
 
@@ -44,23 +46,23 @@
 	NoOwner               // no member in the view
 	TooManyHops           // VMs disagree about the owner
 	HeldFull              // too many packets held
-	NotSettled            // an override is needed and the view is disputed
-	Loser                 // an answer of an upstream that lost the flow
-	NoUpstream            // every upstream is draining or gone
-	Undecided             // not ours and nothing known
-	WaitingStandby        // an opening came again before its standbys acknowledged it
+	NotSettled            // an override is needed while the view is not settled
+	OtherUpstream         // a response from an upstream that does not have the flow
+	NoUpstream            // every upstream is draining or removed
+	Undecided             // not owned here, no VM to redirect to and no record of the flow
+	WaitingStandby        // a packet of a flow whose standbys have not acknowledged it
 	causes
 )
 
 type (
 	// Action is what to do with a packet.
 	Action uint8
-	// Kind is what a packet means to its flow.
+	// Kind is the kind of a packet by its TCP flags.
 	Kind uint8
-	// Cause says why a packet was not passed on.
+	// Cause is why a packet was not forwarded.
 	Cause uint8
 
-	// Segment is the part of a packet that a decision needs.
+	// Segment is the part of a packet that the decision depends on.
 	Segment struct {
 		From  sparflow.Endpoint
 		To    sparflow.Endpoint
@@ -69,8 +71,8 @@
 		Hops  uint8
 	}
 
-	// Verdict is the decision on one packet. It is a plain struct, so that the
-	// busiest path allocates nothing.
+	// Verdict is the decision on one packet. It is a plain struct, so that the packet
+	// path does not allocate.
 	Verdict struct {
 		Action Action
 		Cause  Cause
@@ -80,18 +82,18 @@
 		Keep   bool // keep a copy until a Release for Key
 	}
 
-	// Effect is something that the shell has to do: Release or Note.
+	// Effect is something that the caller of the engine has to do: Release or Event.
 	Effect interface {
 		effect()
 	}
 
-	// Release takes the packet held for Key through Forward again.
+	// Release asks to pass the packet held for Key to Forward again.
 	Release struct {
 		Key sparflow.Key
 	}
 
-	// Note is an event for the time line.
-	Note struct {
+	// Event is an event for the time line.
+	Event struct {
 		Kind    string
 		Service string
 		Subject string
@@ -106,14 +108,14 @@
 		Refused    uint64
 		Aborted    uint64
 		Unrecorded uint64 // packets of flows without a record, at the owner
-		Searches   uint64 // flows looked for at one upstream after the other
-		Retries    uint64 // openings moved to another upstream
+		Searches   uint64 // searches for the upstream of a flow
+		Retries    uint64 // openings retried at another upstream
 		Drops      [causes]uint64
 	}
 )
 
 func (Release) effect() {}
-func (Note) effect()    {}
+func (Event) effect()   {}
 
 var causeNames = [causes]string{
 	"none", "unknown-address", "unknown-upstream", "no-owner", "too-many-hops", "held-full",
--- a/internal/vm/sparnode/node.go
+++ b/internal/vm/sparnode/node.go
@@ -114,7 +114,7 @@
 	}
 	n.Engine.Advance(now, wall)
 	n.Engine.Connect(n.queue, n.acked)
-	n.note(sparroute.Note{Kind: "started"})
+	n.note(sparroute.Event{Kind: "started"})
 	return n
 }
 
@@ -136,7 +136,7 @@
 	}
 	if pause := n.Tracker.Tick(now); pause > 0 {
 		n.Engine.Frozen(pause)
-		n.note(sparroute.Note{Kind: "frozen"})
+		n.note(sparroute.Event{Kind: "frozen"})
 	}
 }
 
@@ -176,7 +176,7 @@
 // Stop makes the VM hand its slots over.
 func (n *Node) Stop() {
 	n.Tracker.Stop()
-	n.note(sparroute.Note{Kind: "leaving"})
+	n.note(sparroute.Event{Kind: "leaving"})
 }
 
 // Drained reports whether a stopping VM has handed everything over.
@@ -197,9 +197,9 @@
 func (n *Node) Tick(now time.Duration, wall time.Time) []Output {
 	n.Advance(now, wall)
 	n.Tracker.Tick(now)
-	n.Engine.Join(n.Tracker.View(now))
-	n.Engine.Newer(n.newer())
-	n.Engine.Partial(n.Tracker.Partial(now))
+	n.Engine.SetView(n.Tracker.View(now))
+	n.Engine.SetNewerPeer(n.newer())
+	n.Engine.SetViewIncomplete(n.Tracker.Partial(now))
 	n.Engine.Tick()
 	var outs []Output
 	if now-n.beaten >= sparmember.Beat {
@@ -219,7 +219,7 @@
 		switch effect := effect.(type) {
 		case sparroute.Release:
 			outs = append(outs, Release{Key: effect.Key})
-		case sparroute.Note:
+		case sparroute.Event:
 			n.note(effect)
 		}
 	}
@@ -262,7 +262,7 @@
 	return list
 }
 
-func (n *Node) note(note sparroute.Note) {
+func (n *Node) note(note sparroute.Event) {
 	n.Timeline.Add(spartimeline.Event{
 		At: n.clock.Next(n.wall), VM: n.self.Name, Kind: note.Kind,
 		Service: note.Service, Subject: note.Subject, Count: note.Count,
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -34,9 +34,9 @@
 	n.snapshot = n.snapshot.With(next)
 	n.Engine.Apply(n.snapshot)
 	n.inForce = next.Revision()
-	n.note(sparroute.Note{Kind: "in-force", Count: int(n.inForce)})
+	n.note(sparroute.Event{Kind: "in-force", Count: int(n.inForce)})
 	for _, p := range n.snapshot.Problems {
-		n.note(sparroute.Note{Kind: "settings-refused", Service: p.Service, Subject: p.Cause, Count: int(p.Revision)})
+		n.note(sparroute.Event{Kind: "settings-refused", Service: p.Service, Subject: p.Cause, Count: int(p.Revision)})
 	}
 }
 
