--- a/internal/vm/sparnode/baseline_test.go
+++ b/internal/vm/sparnode/baseline_test.go
@@ -9,22 +9,22 @@
 	"github.com/oleanderspar/oleanderspar/internal/flow/sparrank"
 )
 
-// baseline is a balancer without owners: every VM hashes, and may keep a table of the
-// flows whose packets it has seen.
+// baseline is a load balancer without slot owners. Every VM chooses the upstream by hash,
+// and may keep a table of the flows whose packets it has received.
 type baseline struct {
 	hasher sparflow.Hasher
-	names  []uint64
-	shares []int
-	tables []map[sparflow.Key]int // nil for hash only
+	ranks  []uint64
+	bySlot []int
+	tables []map[sparflow.Key]int // flow table of each VM, nil for hashing alone
 	rng    *rand.Rand
 }
 
 func newBaseline(tables bool) *baseline {
 	b := &baseline{hasher: sparflow.NewHasher(1, 2), rng: rand.New(rand.NewPCG(1, 7))}
-	for i := range bigUpper {
-		b.names = append(b.names, sparrank.Name(upperAt(1, i+1)))
+	for i := range bigUpstreams {
+		b.ranks = append(b.ranks, sparrank.Name(upstreamAt(1, i+1)))
 	}
-	b.shares = sparrank.Share(sparflow.Slots, b.names)
+	b.bySlot = sparrank.Share(sparflow.Slots, b.ranks)
 	if tables {
 		for range bigVMs {
 			b.tables = append(b.tables, map[sparflow.Key]int{})
@@ -33,33 +33,34 @@
 	return b
 }
 
-// forward returns the upstream that a random VM sends a packet to.
+// forward returns the upstream to which a random VM sends a packet.
 func (b *baseline) forward(key sparflow.Key) int {
 	if b.tables == nil {
-		return b.shares[key.Slot()]
+		return b.bySlot[key.Slot()]
 	}
 	table := b.tables[b.rng.IntN(len(b.tables))]
-	if home, ok := table[key]; ok {
-		return home
+	if upstream, ok := table[key]; ok {
+		return upstream
 	}
-	table[key] = b.shares[key.Slot()]
+	table[key] = b.bySlot[key.Slot()]
 	return table[key]
 }
 
-// drain takes the last upstream out of the hash.
+// drain removes the last upstream from the hash.
 func (b *baseline) drain() {
-	b.shares = sparrank.Share(sparflow.Slots, b.names[:bigUpper-1])
+	b.bySlot = sparrank.Share(sparflow.Slots, b.ranks[:bigUpstreams-1])
 }
 
-// broken opens flows, sends each some packets, drains an upstream, sends each 20
-// more and returns how many reached another upstream, with the load before.
+// broken opens flows, sends some packets on each, drains an upstream and sends 20 more on
+// each. It returns the number of flows that reached another upstream, and the ratio of the
+// maximum to the mean load before the drain.
 func (b *baseline) broken(flows, packets int) (n int, maxMean float64) {
-	homes := map[sparflow.Key]int{}
-	counts := make([]int, bigUpper)
+	upstreams := map[sparflow.Key]int{}
+	counts := make([]int, bigUpstreams)
 	for i := range flows {
-		key := b.hasher.Key(sparflow.Tuple{Caller: caller(i), Proto: sparflow.TCP})
-		homes[key] = b.forward(key)
-		counts[homes[key]]++
+		key := b.hasher.Key(sparflow.Tuple{Caller: client(i), Proto: sparflow.TCP})
+		upstreams[key] = b.forward(key)
+		counts[upstreams[key]]++
 		for range packets {
 			b.forward(key)
 		}
@@ -69,15 +70,15 @@
 		most = max(most, c)
 	}
 	b.drain()
-	for key, home := range homes {
+	for key, upstream := range upstreams {
 		for range 20 {
-			if b.forward(key) != home {
+			if b.forward(key) != upstream {
 				n++
 				break
 			}
 		}
 	}
-	return n, float64(most) * bigUpper / float64(flows)
+	return n, float64(most) * bigUpstreams / float64(flows)
 }
 
 func TestAgainstBaselines(t *testing.T) {
@@ -90,12 +91,12 @@
 	l, d, flows := booking(t, 1, bigFlows)
 	most, mean := l.spread("booking")
 	before := l.stats()
-	l.serve("booking", l.drained(d, upperAt(1, bigUpper)))
+	l.serve("booking", l.drained(d, upstreamAt(1, bigUpstreams)))
 	l.run(2 * time.Second)
 	packets := 0
 	for range 20 {
 		for _, f := range flows {
-			l.say(f)
+			l.sendData(f)
 			packets++
 		}
 	}
@@ -105,6 +106,6 @@
 		float64(after.Redirects-before.Redirects)/float64(packets))
 	assertAtMost(t, "broken flows", ours, 0)
 	if hashOnly == 0 || tables10 == 0 {
-		t.Errorf("the baselines broke %d and %d flows: the case shows nothing", hashOnly, tables10)
+		t.Errorf("the baselines broke %d and %d flows: the comparison shows nothing", hashOnly, tables10)
 	}
 }
--- a/internal/vm/sparnode/change_test.go
+++ b/internal/vm/sparnode/change_test.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	bigFlows = 30_000
-	bigVMs   = 8
-	bigUpper = 15
+	bigFlows     = 30_000
+	bigVMs       = 8
+	bigUpstreams = 15
 )
 
-// booking returns a lab with one service and its open flows.
+// booking returns a lab with the service booking and its open flows.
 func booking(t *testing.T, seed uint64, flows int) (*lab, sparconfig.Document, []*labFlow) {
 	l := newLab(t, seed)
 	l.bootAll(bigVMs)
 	l.run(4 * time.Second)
-	d := document(1, bigUpper)
+	d := document(1, bigUpstreams)
 	l.serve("booking", d)
 	l.run(2 * time.Second)
 	return l, d, l.open("booking", flows, 0)
 }
 
-// talk has every second flow send a packet each half second while time goes on.
-func (l *lab) talk(flows []*labFlow, d time.Duration) {
+// exchange runs the lab for d, while every other flow sends a packet each half second.
+func (l *lab) exchange(flows []*labFlow, d time.Duration) {
 	for range d / (500 * time.Millisecond) {
 		for i := 0; i < len(flows); i += 2 {
 			if flows[i].open && flows[i].broken == "" {
-				l.say(flows[i])
+				l.sendData(flows[i])
 			}
 		}
 		l.run(500 * time.Millisecond)
 	}
 }
 
-// replace starts a VM and lets another one hand over.
+// replace starts one VM and stops another one, which hands over.
 func (l *lab) replace(leaver, joiner string, flows []*labFlow) {
 	l.boot(joiner, "domain-0")
 	l.leave(leaver, flows)
@@ -46,12 +46,12 @@
 	vm := l.vm(name)
 	vm.node.Stop()
 	for range 20 {
-		l.talk(flows, 500*time.Millisecond)
+		l.exchange(flows, 500*time.Millisecond)
 		if vm.node.Drained() {
 			break
 		}
 	}
-	vm.dead, vm.died = true, l.now-fabricLag
+	vm.stopped, vm.stoppedAt = true, l.now-fabricLag
 	delete(l.entries, sparconfig.VMKey(name))
 	l.revision++
 }
@@ -61,12 +61,12 @@
 		name   string
 		change func(l *lab, d sparconfig.Document, flows []*labFlow)
 	}{
-		{"nothing", func(l *lab, d sparconfig.Document, flows []*labFlow) {}},
+		{"no change", func(l *lab, d sparconfig.Document, flows []*labFlow) {}},
 		{"upstream drains", func(l *lab, d sparconfig.Document, flows []*labFlow) {
-			l.serve("booking", l.drained(d, upperAt(1, 3)))
+			l.serve("booking", l.drained(d, upstreamAt(1, 3)))
 		}},
 		{"upstream joins", func(l *lab, d sparconfig.Document, flows []*labFlow) {
-			l.serve("booking", document(1, bigUpper+1))
+			l.serve("booking", document(1, bigUpstreams+1))
 		}},
 		{"VM joins", func(l *lab, d sparconfig.Document, flows []*labFlow) {
 			l.boot("vm-9", "domain-0")
@@ -74,16 +74,16 @@
 		{"VM leaves", func(l *lab, d sparconfig.Document, flows []*labFlow) {
 			l.leave("vm-2", flows)
 		}},
-		{"both at once", func(l *lab, d sparconfig.Document, flows []*labFlow) {
-			l.serve("booking", l.drained(document(1, bigUpper+1), upperAt(1, 3), upperAt(1, 4)))
+		{"upstreams change and a VM is replaced at once", func(l *lab, d sparconfig.Document, flows []*labFlow) {
+			l.serve("booking", l.drained(document(1, bigUpstreams+1), upstreamAt(1, 3), upstreamAt(1, 4)))
 			l.replace("vm-2", "vm-9", flows)
 		}},
-		{"settings arrive unevenly", func(l *lab, d sparconfig.Document, flows []*labFlow) {
-			l.late = func(vm string) time.Duration { return time.Duration(vm[3]-'1') * 700 * time.Millisecond }
-			l.serve("booking", l.drained(d, upperAt(1, 3)))
-			l.talk(flows, 2*time.Second)
-			l.serve("booking", l.drained(document(1, bigUpper+1), upperAt(1, 3), upperAt(1, 5)))
-			l.talk(flows, 5*time.Second)
+		{"settings reach VMs at different times", func(l *lab, d sparconfig.Document, flows []*labFlow) {
+			l.settingsDelay = func(vm string) time.Duration { return time.Duration(vm[3]-'1') * 700 * time.Millisecond }
+			l.serve("booking", l.drained(d, upstreamAt(1, 3)))
+			l.exchange(flows, 2*time.Second)
+			l.serve("booking", l.drained(document(1, bigUpstreams+1), upstreamAt(1, 3), upstreamAt(1, 5)))
+			l.exchange(flows, 5*time.Second)
 		}},
 		{"every VM replaced", func(l *lab, d sparconfig.Document, flows []*labFlow) {
 			for i := range bigVMs {
@@ -91,22 +91,22 @@
 			}
 		}},
 		{"drain, replace all, drain", func(l *lab, d sparconfig.Document, flows []*labFlow) {
-			l.serve("booking", l.drained(d, upperAt(1, 3)))
-			l.talk(flows, time.Second)
+			l.serve("booking", l.drained(d, upstreamAt(1, 3)))
+			l.exchange(flows, time.Second)
 			for i := range bigVMs {
 				l.replace(l.vms[i].name, "new-"+l.vms[i].name, flows)
 			}
-			l.serve("booking", l.drained(d, upperAt(1, 3), upperAt(1, 7)))
+			l.serve("booking", l.drained(d, upstreamAt(1, 3), upstreamAt(1, 7)))
 		}},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l, d, flows := booking(t, uint64(i+1), bigFlows)
 			c.change(l, d, flows)
-			l.talk(flows, 5*time.Second)
+			l.exchange(flows, 5*time.Second)
 			assertAtMost(t, "broken flows", l.broken(flows), 0)
 			assertAtMost(t, "broken flows, second round", l.broken(flows), 0)
-			assertAtMost(t, "packets at another service", l.strays, 0)
+			assertAtMost(t, "packets at another service", l.misrouted, 0)
 			s := l.stats()
 			t.Logf("openings %d, overrides %d, redirects %d, unrecorded %d, drops %v", s.Openings, s.Overrides, s.Redirects, s.Unrecorded, s.Drops)
 		})
--- a/internal/vm/sparnode/facts.go
+++ b/internal/vm/sparnode/facts.go
@@ -8,7 +8,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// Facts returns what this VM knows about itself at this moment.
+// Facts returns the current state of this VM for status reports.
 func (n *Node) Facts() *sparcontrol.FactsReply {
 	view := n.Engine.View()
 	_, waiting := n.Engine.Owned()
@@ -41,8 +41,8 @@
 	return facts
 }
 
-// Expected returns the VMs that should answer: those heard lately, and those that
-// the platform lists as live.
+// Expected returns the VMs that should respond: those that have sent heartbeats recently,
+// and those that the platform lists as live.
 func (n *Node) Expected() []sparconfig.VM {
 	return slices.DeleteFunc(n.Tracker.Targets(), func(vm sparconfig.VM) bool {
 		return !n.Tracker.Hears(vm.Name, n.now) && !n.Tracker.ListedLive(vm.Name)
--- a/internal/vm/sparnode/hosts_test.go
+++ b/internal/vm/sparnode/hosts_test.go
@@ -8,17 +8,17 @@
 	"github.com/oleanderspar/oleanderspar/internal/vm/sparnode"
 )
 
-// arrive is the kernel of an upstream.
-func (l *lab) arrive(f *labFlow, at sparflow.Endpoint, s sparroute.Segment) {
-	u := l.uppers[at]
+// upstreamReceive acts as the kernel of an upstream that receives a packet.
+func (l *lab) upstreamReceive(f *labFlow, at sparflow.Endpoint, s sparroute.Segment) {
+	u := l.upstreams[at]
 	if u.service != l.services[s.To] {
-		l.strays++
+		l.misrouted++
 	}
 	back := sparroute.Segment{From: at, To: s.From, Proto: s.Proto, Kind: sparroute.Data}
 	switch {
-	case s.Kind == sparroute.Opening && u.mute:
+	case s.Kind == sparroute.Opening && u.unresponsive:
 		return
-	case s.Kind == sparroute.Opening && u.shed:
+	case s.Kind == sparroute.Opening && u.refusing:
 		back.Kind = sparroute.Resetting
 	case s.Kind == sparroute.Opening:
 		if !u.conns[f] {
@@ -26,29 +26,29 @@
 		}
 		u.conns[f] = true
 		back.Kind = sparroute.Accepting
-	case !u.conns[f] && s.Kind == sparroute.Finishing && f.home == at:
-		back.Kind = sparroute.Finishing // the kernel answers a FIN that comes again
+	case !u.conns[f] && s.Kind == sparroute.Finishing && f.upstream == at:
+		back.Kind = sparroute.Finishing // the kernel answers a retransmitted FIN
 	case !u.conns[f]:
 		back.Kind = sparroute.Resetting
 	case s.Kind == sparroute.Resetting:
 		delete(u.conns, f)
 		return
-	case f.home != at: // half-open here, accepted elsewhere: its ACK is not ours
+	case f.upstream != at: // half-open here, accepted by another upstream: the ACK does not match
 		delete(u.conns, f)
 		back.Kind = sparroute.Resetting
 	case s.Kind == sparroute.Finishing:
 		delete(u.conns, f)
 		back.Kind = sparroute.Finishing
 	}
-	l.follow(l.spray(), f, back)
+	l.route(l.spray(), f, back)
 }
 
-// answered is the kernel of a caller.
-func (l *lab) answered(f *labFlow, s sparroute.Segment) {
+// clientReceive acts as the kernel of a client that receives a packet.
+func (l *lab) clientReceive(f *labFlow, s sparroute.Segment) {
 	switch s.Kind {
 	case sparroute.Accepting:
 		if !f.open {
-			f.open, f.home = true, s.From
+			f.open, f.upstream = true, s.From
 		}
 	case sparroute.Resetting:
 		if f.open {
@@ -59,40 +59,40 @@
 	case sparroute.Finishing:
 		f.open = false
 	default:
-		f.heard(s.From)
+		f.noteResponse(s.From)
 	}
 }
 
-// heard notes an answer of an upstream.
-func (f *labFlow) heard(from sparflow.Endpoint) {
-	if f.home == from {
+// noteResponse notes a response from an upstream.
+func (f *labFlow) noteResponse(from sparflow.Endpoint) {
+	if f.upstream == from {
 		f.refused = false
-		f.home |= answeredBit
+		f.upstream |= respondedBit
 	}
 }
 
-const answeredBit sparflow.Endpoint = 1 << 60
+const respondedBit sparflow.Endpoint = 1 << 60
 
-// say sends one data packet and reports whether it was answered.
-func (l *lab) say(f *labFlow) bool {
-	f.home &^= answeredBit
-	l.follow(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto})
-	ok := f.home&answeredBit != 0
-	f.home &^= answeredBit
+// sendData sends one data packet and reports whether a response arrived.
+func (l *lab) sendData(f *labFlow) bool {
+	f.upstream &^= respondedBit
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto})
+	ok := f.upstream&respondedBit != 0
+	f.upstream &^= respondedBit
 	return ok
 }
 
-func (l *lab) knock(f *labFlow) {
-	l.follow(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Opening})
+func (l *lab) sendSYN(f *labFlow) {
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Opening})
 }
 
-// end sends FIN; the flow is over once the upstream has answered with its own.
+// end sends FIN. The flow is closed once the upstream has answered with its own.
 func (l *lab) end(f *labFlow) {
 	f.ending = true
-	l.follow(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Finishing})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Finishing})
 }
 
-// open opens n flows to a service, SYNs sent again until answered.
+// open opens n flows to a service and retransmits each SYN until it is answered.
 func (l *lab) open(service string, n, first int) []*labFlow {
 	var at sparflow.Endpoint
 	for e, name := range l.services {
@@ -102,9 +102,9 @@
 	}
 	flows := make([]*labFlow, n)
 	for i := range flows {
-		from := caller(first + i)
+		from := client(first + i)
 		flows[i] = &labFlow{service: service, tuple: sparflow.Tuple{Caller: from, Service: at, Proto: sparflow.TCP}}
-		l.knock(flows[i])
+		l.sendSYN(flows[i])
 		if i%500 == 499 {
 			l.run(sparnode.TickEvery)
 		}
@@ -113,7 +113,7 @@
 		l.run(200 * time.Millisecond)
 		for _, f := range flows {
 			if !f.open && !f.refused {
-				l.knock(f)
+				l.sendSYN(f)
 			}
 		}
 	}
@@ -125,18 +125,18 @@
 	return flows
 }
 
-// broken sends data on every flow, again and again until answered, and returns how
-// many broke or fell silent.
+// broken sends data on every flow, retransmitted until a response arrives. It returns the
+// number of flows that were reset, aborted or left without a response.
 func (l *lab) broken(flows []*labFlow) int {
 	waiting := flows
 	for range maxTries {
-		var still []*labFlow
+		var unanswered []*labFlow
 		for _, f := range waiting {
-			if f.open && !f.ending && f.broken == "" && !l.say(f) && f.broken == "" {
-				still = append(still, f)
+			if f.open && !f.ending && f.broken == "" && !l.sendData(f) && f.broken == "" {
+				unanswered = append(unanswered, f)
 			}
 		}
-		if waiting = still; len(still) == 0 {
+		if waiting = unanswered; len(unanswered) == 0 {
 			break
 		}
 		l.run(300 * time.Millisecond)
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -15,100 +15,100 @@
 )
 
 const (
-	labDelay  = 5 * time.Millisecond
-	labSecret = "000102030405060708090a0b0c0d0e0f"
-	maxTries  = 12
-	udpIP     = 28
-	fabricLag = time.Second // the fabric goes on spraying over a dead VM
+	labDelay     = 5 * time.Millisecond
+	labSecret    = "000102030405060708090a0b0c0d0e0f"
+	maxTries     = 12
+	udpIPHeaders = 28
+	fabricLag    = time.Second // how long the fabric still sprays packets to a stopped VM
 )
 
 type (
-	// lab drives real nodes with fakes at their interfaces: a clock, a lossless
-	// network with cuts, a platform and hosts that only remember connections.
+	// lab runs real nodes with fakes at their interfaces: a clock, a network with partitions
+	// and message loss, a platform, and hosts that only track connections.
 	lab struct {
-		t     testing.TB
-		rng   *rand.Rand
-		now   time.Duration
-		start time.Time
-		vms   []*labVM
-		wires []labWire
-		cut   func(from, to string) bool
-		loss  int                           // percent of the messages between VMs
-		late  func(vm string) time.Duration // of settings
+		t             testing.TB
+		rng           *rand.Rand
+		now           time.Duration
+		start         time.Time
+		vms           []*labVM
+		messages      []labMessage
+		blocked       func(from, to string) bool
+		loss          int                           // percent of the messages between VMs
+		settingsDelay func(vm string) time.Duration // extra delay of settings to a VM
 
 		entries  map[string]sparregistry.Entry
 		revision uint64
 		down     bool
 
-		uppers   map[sparflow.Endpoint]*labUpper
-		services map[sparflow.Endpoint]string
-		strays   int // packets that reached an upstream of another service
-		traces   bool
+		upstreams map[sparflow.Endpoint]*labUpstream
+		services  map[sparflow.Endpoint]string
+		misrouted int // packets that reached an upstream of another service
+		tracing   bool
 	}
 
 	labVM struct {
-		name   string
-		file   sparconfig.File
-		node   *sparnode.Node
-		dead   bool
-		died   time.Duration
-		frozen bool
-		seen   uint64
-		held   map[sparflow.Key]labHeld
-		bytes  int
+		name         string
+		file         sparconfig.File
+		node         *sparnode.Node
+		stopped      bool
+		stoppedAt    time.Duration
+		frozen       bool
+		readRevision uint64
+		held         map[sparflow.Key]heldPacket
+		bytes        int
 	}
 
-	labHeld struct {
+	heldPacket struct {
 		flow *labFlow
 		kind sparroute.Kind
 	}
 
-	labWire struct {
+	labMessage struct {
 		at       time.Duration
 		from, to string
 		deliver  func(vm *labVM)
 	}
 
-	labUpper struct {
-		service string
-		conns   map[*labFlow]bool
-		mute    bool // does not answer openings
-		shed    bool // refuses openings
-		opened  []time.Duration
+	labUpstream struct {
+		service      string
+		conns        map[*labFlow]bool
+		unresponsive bool // does not answer SYNs
+		refusing     bool // answers SYNs with RST
+		opened       []time.Duration
 	}
 
 	labFlow struct {
-		tuple   sparflow.Tuple
-		service string
-		home    sparflow.Endpoint
-		open    bool
-		ending  bool // the caller has sent FIN
-		refused bool
-		broken  string
-		trail   []string // decisions on its packets, where the lab traces
+		tuple    sparflow.Tuple
+		service  string
+		upstream sparflow.Endpoint
+		open     bool
+		ending   bool // the client has sent FIN
+		refused  bool
+		broken   string
+		trace    []string // decisions on its packets, if the lab traces them
 	}
 )
 
 func newLab(t testing.TB, seed uint64) *lab {
 	return &lab{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_800_000_000, 0), now: time.Second,
-		entries: map[string]sparregistry.Entry{}, uppers: map[sparflow.Endpoint]*labUpper{},
-		services: map[sparflow.Endpoint]string{},
-		cut:      func(string, string) bool { return false },
-		late:     func(string) time.Duration { return 0 },
+		entries: map[string]sparregistry.Entry{}, upstreams: map[sparflow.Endpoint]*labUpstream{},
+		services:      map[sparflow.Endpoint]string{},
+		blocked:       func(string, string) bool { return false },
+		settingsDelay: func(string) time.Duration { return 0 },
 	}
 }
 
 func (l *lab) wall() time.Time { return l.start.Add(l.now) }
 
-// boot starts a VM and lists it.
+// boot starts a VM and registers it.
 func (l *lab) boot(name, domain string) *labVM {
 	ip := len(l.vms) + 1
 	file := sparconfig.File{
 		Name: name, Domain: domain, Data: fmt.Sprintf("127.0.0.1:%d", 10000+ip),
 		Control: fmt.Sprintf("127.0.0.1:%d", 20000+ip), Secret: labSecret, Flows: sparconfig.DefaultFlows,
 	}
-	vm := &labVM{name: name, file: file, held: map[sparflow.Key]labHeld{}}
+	vm := &labVM{name: name, file: file, held: map[sparflow.Key]heldPacket{}}
 	vm.node = sparnode.New(file, uint64(l.now/time.Millisecond), l.now, l.wall())
 	l.vms = append(l.vms, vm)
 	l.put(sparconfig.VMKey(name), file.VM().Text())
@@ -135,8 +135,8 @@
 	}
 	for _, m := range d.Upstreams {
 		at, _ := sparflow.ParseEndpoint(m.At)
-		if l.uppers[at] == nil {
-			l.uppers[at] = &labUpper{service: name, conns: map[*labFlow]bool{}}
+		if l.upstreams[at] == nil {
+			l.upstreams[at] = &labUpstream{service: name, conns: map[*labFlow]bool{}}
 		}
 	}
 	at, _ := sparflow.ParseEndpoint(d.Address)
@@ -146,27 +146,27 @@
 
 func (l *lab) vm(name string) *labVM {
 	for _, vm := range l.vms {
-		if vm.name == name && !vm.dead {
+		if vm.name == name && !vm.stopped {
 			return vm
 		}
 	}
 	return nil
 }
 
-// kill stops a VM without a word; the platform still lists it.
+// kill stops a VM without a handover. The platform still lists it.
 func (l *lab) kill(name string) {
 	vm := l.vm(name)
-	vm.dead, vm.died = true, l.now
+	vm.stopped, vm.stoppedAt = true, l.now
 }
 
-// run moves time on.
+// run advances the clock by d and runs the VMs.
 func (l *lab) run(d time.Duration) {
 	for end := l.now + d; l.now < end; {
 		l.now += sparnode.TickEvery
 		l.deliver()
-		l.read()
+		l.readPlatform()
 		for _, vm := range l.vms {
-			if !vm.dead && !vm.frozen {
+			if !vm.stopped && !vm.frozen {
 				l.perform(vm, vm.node.Tick(l.now, l.wall()))
 			}
 		}
@@ -174,15 +174,15 @@
 }
 
 func (l *lab) deliver() {
-	due := l.wires
-	l.wires = nil
+	due := l.messages
+	l.messages = nil
 	for _, w := range due {
 		switch vm := l.vm(w.to); {
 		case w.at > l.now:
-			l.wires = append(l.wires, w)
+			l.messages = append(l.messages, w)
 		case vm == nil:
 		case vm.frozen:
-			l.wires = append(l.wires, w) // waits in the socket buffer
+			l.messages = append(l.messages, w) // waits in the socket buffer
 		default:
 			vm.node.Advance(l.now, l.wall())
 			w.deliver(vm)
@@ -191,31 +191,31 @@
 	}
 }
 
-// read gives the platform's state to the VMs that watch it.
-func (l *lab) read() {
+// readPlatform sends the entries of the platform to the VMs that watch it.
+func (l *lab) readPlatform() {
 	for _, vm := range l.vms {
-		if l.down || vm.dead || vm.frozen || vm.seen == l.revision || l.cut(vm.name, "platform") {
+		if l.down || vm.stopped || vm.frozen || vm.readRevision == l.revision || l.blocked(vm.name, "platform") {
 			continue
 		}
 		if !vm.node.Tracker.Watches(l.now) {
-			vm.seen = 0
+			vm.readRevision = 0
 			continue
 		}
-		vm.seen = l.revision
+		vm.readRevision = l.revision
 		var entries []sparregistry.Entry
 		for _, e := range l.entries {
 			entries = append(entries, e)
 		}
 		revision := l.revision
-		l.wire("platform", vm.name, l.late(vm.name), func(vm *labVM) { vm.node.Reading(entries, revision) })
+		l.send("platform", vm.name, l.settingsDelay(vm.name), func(vm *labVM) { vm.node.Reading(entries, revision) })
 	}
 }
 
-func (l *lab) wire(from, to string, extra time.Duration, deliver func(vm *labVM)) {
-	if l.cut(from, to) || l.loss > 0 && l.rng.IntN(100) < l.loss {
+func (l *lab) send(from, to string, extra time.Duration, deliver func(vm *labVM)) {
+	if l.blocked(from, to) || l.loss > 0 && l.rng.IntN(100) < l.loss {
 		return
 	}
-	l.wires = append(l.wires, labWire{at: l.now + labDelay + extra, from: from, to: to, deliver: deliver})
+	l.messages = append(l.messages, labMessage{at: l.now + labDelay + extra, from: from, to: to, deliver: deliver})
 }
 
 func (l *lab) perform(vm *labVM, outs []sparnode.Output) {
@@ -235,15 +235,15 @@
 		case sparnode.Release:
 			if h, ok := vm.held[out.Key]; ok {
 				delete(vm.held, out.Key)
-				l.follow(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Caller, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
+				l.route(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Caller, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
 			}
 		}
 	}
 }
 
 func (l *lab) datagram(vm *labVM, to string, b []byte) {
-	vm.bytes += len(b) + udpIP
-	l.wire(vm.name, to, 0, func(vm *labVM) {
+	vm.bytes += len(b) + udpIPHeaders
+	l.send(vm.name, to, 0, func(vm *labVM) {
 		in, err := sparcontrol.Decode(b)
 		if err != nil {
 			l.t.Fatalf("Decode: %v", err)
@@ -253,18 +253,18 @@
 }
 
 func (l *lab) pull(vm *labVM, p sparnode.Pull) {
-	asker := vm.name
-	l.wire(asker, p.From.Name, 0, func(peer *labVM) {
+	requester := vm.name
+	l.send(requester, p.From.Name, 0, func(peer *labVM) {
 		share := peer.node.Registry().Share(p.After)
-		l.wire(peer.name, asker, l.late(asker), func(vm *labVM) { vm.node.Merge(share) })
+		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(share) })
 	})
 }
 
-// spray picks the VM that the fabric hands a packet to.
+// spray returns the VM to which the fabric sends a packet.
 func (l *lab) spray() *labVM {
 	var live []*labVM
 	for _, vm := range l.vms {
-		if !vm.dead || l.now-vm.died < fabricLag {
+		if !vm.stopped || l.now-vm.stoppedAt < fabricLag {
 			live = append(live, vm)
 		}
 	}
@@ -274,9 +274,9 @@
 	return live[l.rng.IntN(len(live))]
 }
 
-// follow takes a packet through the VMs until it leaves them or is lost.
-func (l *lab) follow(vm *labVM, f *labFlow, s sparroute.Segment) {
-	for vm != nil && !vm.dead && !vm.frozen {
+// route passes a packet from VM to VM until it leaves them or is lost.
+func (l *lab) route(vm *labVM, f *labFlow, s sparroute.Segment) {
+	for vm != nil && !vm.stopped && !vm.frozen {
 		vm.node.Advance(l.now, l.wall())
 		snapshot := vm.node.Snapshot()
 		var v sparroute.Verdict
@@ -286,13 +286,13 @@
 		} else {
 			v = vm.node.Engine.Forward(s)
 		}
-		if l.traces && f.broken == "" {
-			f.trail = append(f.trail, fmt.Sprintf("%v %s kind %d from %s hops %d: action %d %s%s %s",
+		if l.tracing && f.broken == "" {
+			f.trace = append(f.trace, fmt.Sprintf("%v %s kind %d from %s hops %d: action %d %s%s %s",
 				l.now, vm.name, s.Kind, s.From, s.Hops, v.Action, v.Peer, v.At, v.Cause))
 		}
 		switch v.Action {
 		case sparroute.ToPeer:
-			if l.cut(vm.name, v.Peer) {
+			if l.blocked(vm.name, v.Peer) {
 				return
 			}
 			vm = l.vm(v.Peer)
@@ -300,13 +300,13 @@
 			continue
 		case sparroute.ToUpstream:
 			if v.Keep {
-				vm.held[v.Key] = labHeld{f, s.Kind}
+				vm.held[v.Key] = heldPacket{f, s.Kind}
 			}
-			l.arrive(f, v.At, s)
+			l.upstreamReceive(f, v.At, s)
 		case sparroute.ToCaller:
-			l.answered(f, s)
+			l.clientReceive(f, s)
 		case sparroute.Hold:
-			vm.held[v.Key] = labHeld{f, s.Kind}
+			vm.held[v.Key] = heldPacket{f, s.Kind}
 		case sparroute.Refuse:
 			f.refused = true
 		case sparroute.Abort, sparroute.AbortCaller:
@@ -322,12 +322,12 @@
 func document(net, n int) sparconfig.Document {
 	d := sparconfig.Document{Address: fmt.Sprintf("198.51.100.%d:443", net), Proto: "tcp"}
 	for i := range n {
-		d.Upstreams = append(d.Upstreams, sparconfig.Member{At: upperAt(net, i+1)})
+		d.Upstreams = append(d.Upstreams, sparconfig.Member{At: upstreamAt(net, i+1)})
 	}
 	return d
 }
 
-func upperAt(net, n int) string { return fmt.Sprintf("10.0.%d.%d:8080", net, n) }
+func upstreamAt(net, n int) string { return fmt.Sprintf("10.0.%d.%d:8080", net, n) }
 
 // drained returns d with some upstreams draining for an hour.
 func (l *lab) drained(d sparconfig.Document, ats ...string) sparconfig.Document {
@@ -337,10 +337,10 @@
 	return d
 }
 
-// spread returns the most and the mean open flows of the upstreams of a service.
+// spread returns the maximum and the mean of the open flows of the upstreams of a service.
 func (l *lab) spread(service string) (most int, mean float64) {
 	total, n := 0, 0
-	for _, u := range l.uppers {
+	for _, u := range l.upstreams {
 		if u.service == service {
 			most = max(most, len(u.conns))
 			total += len(u.conns)
@@ -382,7 +382,7 @@
 	return e
 }
 
-// caller returns the endpoint of the caller with a number.
-func caller(n int) sparflow.Endpoint {
+// client returns the endpoint of client number n.
+func client(n int) sparflow.Endpoint {
 	return sparflow.MakeEndpoint(0xCB000000+uint32(n/50000), uint16(1024+n%50000))
 }
--- a/internal/vm/sparnode/load_test.go
+++ b/internal/vm/sparnode/load_test.go
@@ -7,8 +7,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/vm/sparnode"
 )
 
-// churn opens and ends perSecond flows each second, keeping the number open, and
-// calls sample each second.
+// churn ends and opens perSecond flows each second, which keeps the number of open flows,
+// and calls sample each second.
 func (l *lab) churn(flows []*labFlow, perSecond int, d time.Duration, sample func()) {
 	ticks := int(time.Second / sparnode.TickEvery)
 	next := 1_000_000
@@ -16,7 +16,7 @@
 		for range perSecond / ticks {
 			i := l.rng.IntN(len(flows))
 			if !flows[i].open {
-				l.knock(flows[i])
+				l.sendSYN(flows[i])
 				continue
 			}
 			if l.end(flows[i]); flows[i].open {
@@ -26,7 +26,7 @@
 			f.tuple.Caller += 1 << 20 << 16
 			next++
 			flows[i] = f
-			l.knock(f)
+			l.sendSYN(f)
 		}
 		l.run(sparnode.TickEvery)
 		if tick%ticks == ticks-1 {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestKillDuringOverrides kills VMs while every fifth opening is an override, the only
-// flows that the death of their owner could lose.
+// TestKillDuringOverrides kills VMs while every fifth opening is an override. Overrides
+// are the only flows that a crash of their owner could break.
 func TestKillDuringOverrides(t *testing.T) {
 	l, d, flows := booking(t, 13, bigFlows)
 	d.Spread = 0.005
@@ -86,8 +86,8 @@
 	assertAtMost(t, "broken flows", l.broken(flows), oneIn10000)
 }
 
-// TestControlBytes holds two loads to the bound: today's, and the thousands of new
-// flows a second at each VM of the brief, at flows that stay open for 15 s.
+// TestControlBytes checks the bound under two loads: 2000 new flows a second in all, and
+// the required thousands of new flows a second at each VM. Flows stay open for 15 s.
 func TestControlBytes(t *testing.T) {
 	const (
 		seconds = 10
--- a/internal/vm/sparnode/node.go
+++ b/internal/vm/sparnode/node.go
@@ -1,8 +1,8 @@
-// Package sparnode joins the decisions of one VM: membership, settings, routing
+// Package sparnode combines the decisions of one VM: membership, settings, routing
 // and the streams to the other VMs.
 //
-// A Node does no I/O and reads no clock. Its shell feeds it what arrives and the
-// time, and sends what it returns:
+// A Node does no I/O and reads no clock. Its caller passes in the time and the messages
+// received, and sends the outputs that the node returns:
 //
 //	n := sparnode.New(file, incarnation, now, wall)
 //	for _, out := range n.Tick(now, wall) {
@@ -10,7 +10,7 @@
 //		case sparnode.Beat:
 //			// send out.Report to out.To
 //		case sparnode.Pull:
-//			// ask out.From for settings, then call n.Merge
+//			// request settings from out.From, then call n.Merge
 //		}
 //	}
 package sparnode
@@ -29,16 +29,16 @@
 )
 
 const (
-	// TickEvery is how often the shell calls Tick.
+	// TickEvery is the interval between calls of Tick.
 	TickEvery = 20 * time.Millisecond
 
-	fullEvery = 16 // heartbeats between two that carry the addresses of the VM
-	loadEvery = 2  // heartbeats between two that carry loads
+	fullEvery = 16 // every 16th heartbeat carries the addresses of the VM
+	loadEvery = 2  // every 2nd heartbeat carries loads
 	pullEvery = sparmember.Beat
 )
 
 type (
-	// Output is something for the shell to do. It is a sealed interface: Beat,
+	// Output is something for the caller of a node to do. It is a sealed interface: Beat,
 	// Frame, Pull, Sweep or Release.
 	Output interface {
 		output()
@@ -50,46 +50,46 @@
 		Report sparcontrol.Report
 	}
 
-	// Frame is a frame to send.
+	// Frame is a frame of a stream to send.
 	Frame struct {
 		To      sparconfig.VM
 		Message sparcontrol.Message
 	}
 
-	// Pull asks a peer for the settings changed after a revision.
+	// Pull requests the settings changed after a revision from a peer.
 	Pull struct {
 		From  sparconfig.VM
 		After uint64
 	}
 
-	// Release takes a held packet through Engine.Forward again.
+	// Release asks to pass a held packet to Engine.Forward again.
 	Release struct {
 		Key sparflow.Key
 	}
 
-	// Node is the deciding part of one VM. Use New.
+	// Node makes the decisions of one VM. Use New.
 	Node struct {
 		Engine   *sparroute.Engine
 		Tracker  *sparmember.Tracker
 		Timeline *spartimeline.Ring
 
-		self        sparconfig.VM
-		incarnation uint64
-		registry    sparregistry.Registry
-		snapshot    sparconfig.Snapshot
-		clock       spartimeline.Clock
-		streams     map[string]*sparstream.Stream[sparroute.Message]
-		now         time.Duration
-		wall        time.Time
-		beaten      time.Duration
-		beats       int
-		pulled      map[string]pulled
-		inForce     uint64
-		swept       time.Duration
-		unused      map[string]unused
+		self         sparconfig.VM
+		incarnation  uint64
+		registry     sparregistry.Registry
+		snapshot     sparconfig.Snapshot
+		clock        spartimeline.Clock
+		streams      map[string]*sparstream.Stream[sparroute.Message]
+		now          time.Duration
+		wall         time.Time
+		lastBeat     time.Duration
+		beats        int
+		lastPulls    map[string]lastPull
+		inForce      uint64
+		lastSweep    time.Duration
+		unusedClaims map[string]unusedClaim
 	}
 
-	pulled struct {
+	lastPull struct {
 		at     time.Duration
 		digest uint32
 	}
@@ -100,8 +100,8 @@
 func (Pull) output()    {}
 func (Release) output() {}
 
-// New returns a node for the VM of a settings file. Its incarnation must be above
-// those of its earlier starts.
+// New returns a node for the VM of a settings file. Its incarnation must be higher than
+// that of every earlier start.
 func New(file sparconfig.File, incarnation uint64, now time.Duration, wall time.Time) *Node {
 	k0, k1 := file.Keys()
 	n := &Node{
@@ -109,24 +109,24 @@
 		Tracker:  sparmember.NewTracker(file.VM(), incarnation, now),
 		Timeline: spartimeline.NewRing(spartimeline.DefaultSize),
 		self:     file.VM(), incarnation: incarnation, now: now, wall: wall,
-		streams: map[string]*sparstream.Stream[sparroute.Message]{}, pulled: map[string]pulled{},
-		unused: map[string]unused{},
+		streams: map[string]*sparstream.Stream[sparroute.Message]{}, lastPulls: map[string]lastPull{},
+		unusedClaims: map[string]unusedClaim{},
 	}
 	n.Engine.Advance(now, wall)
 	n.Engine.Connect(n.queue, n.acked)
-	n.note(sparroute.Event{Kind: "started"})
+	n.addEvent(sparroute.Event{Kind: "started"})
 	return n
 }
 
-// Registry returns the settings entries that this VM knows.
+// Registry returns the settings entries that this VM has.
 func (n *Node) Registry() sparregistry.Registry { return n.registry }
 
 // Snapshot returns the settings in force.
 func (n *Node) Snapshot() sparconfig.Snapshot { return n.snapshot }
 
-// Advance sets the time for the calls that follow. After a pause of the process it
-// gives ownership up first, so that no packet that waited in a socket buffer is decided
-// with an old view.
+// Advance sets the time for the calls that follow. After a pause of the process it gives up
+// all slots, so that a packet that waited in a socket buffer is not decided by an outdated
+// view.
 func (n *Node) Advance(now time.Duration, wall time.Time) {
 	paused := now-n.now > sparmember.Fresh
 	n.now, n.wall = now, wall
@@ -136,26 +136,26 @@
 	}
 	if pause := n.Tracker.Tick(now); pause > 0 {
 		n.Engine.Frozen(pause)
-		n.note(sparroute.Event{Kind: "frozen"})
+		n.addEvent(sparroute.Event{Kind: "frozen"})
 	}
 }
 
-// Receive takes a decoded datagram of a peer.
+// Receive applies a decoded datagram from a peer.
 func (n *Node) Receive(in sparcontrol.Input) {
 	switch in := in.(type) {
 	case sparcontrol.Report:
-		n.heard(in)
+		n.receiveReport(in)
 	case sparcontrol.Message:
-		n.take(in)
+		n.receiveMessage(in)
 	}
 }
 
-func (n *Node) heard(r sparcontrol.Report) {
+func (n *Node) receiveReport(r sparcontrol.Report) {
 	n.clock.Observe(r.Stamp)
 	n.Tracker.Heard(r.Heartbeat, n.now)
 	name := r.Heartbeat.VM.Name
-	life, ok := n.Tracker.Incarnation(name)
-	if s := n.streams[name]; s != nil && ok && s.Peer() != life {
+	incarnation, ok := n.Tracker.Incarnation(name)
+	if s := n.streams[name]; s != nil && ok && s.Peer() != incarnation {
 		delete(n.streams, name)
 	}
 	loads := map[string][]sparroute.Count{}
@@ -173,10 +173,10 @@
 	}
 }
 
-// Stop makes the VM hand its slots over.
+// Stop starts the handover of all slots of this VM.
 func (n *Node) Stop() {
 	n.Tracker.Stop()
-	n.note(sparroute.Event{Kind: "leaving"})
+	n.addEvent(sparroute.Event{Kind: "leaving"})
 }
 
 // Drained reports whether a stopping VM has handed everything over.
@@ -193,17 +193,17 @@
 	return true
 }
 
-// Tick does what time makes due.
+// Tick does the periodic work that is due.
 func (n *Node) Tick(now time.Duration, wall time.Time) []Output {
 	n.Advance(now, wall)
 	n.Tracker.Tick(now)
 	n.Engine.SetView(n.Tracker.View(now))
-	n.Engine.SetNewerPeer(n.newer())
+	n.Engine.SetNewerPeer(n.newerPeer())
 	n.Engine.SetViewIncomplete(n.Tracker.Partial(now))
 	n.Engine.Tick()
 	var outs []Output
-	if now-n.beaten >= sparmember.Beat {
-		n.beaten = now
+	if now-n.lastBeat >= sparmember.Beat {
+		n.lastBeat = now
 		outs = append(outs, n.beat()...)
 	}
 	outs = append(outs, n.pulls()...)
@@ -212,7 +212,7 @@
 	return append(outs, n.Drain()...)
 }
 
-// Drain returns the effects of the engine since the last call.
+// Drain returns the outputs that result from effects of the engine since the last call.
 func (n *Node) Drain() []Output {
 	var outs []Output
 	for _, effect := range n.Engine.Effects() {
@@ -220,7 +220,7 @@
 		case sparroute.Release:
 			outs = append(outs, Release{Key: effect.Key})
 		case sparroute.Event:
-			n.note(effect)
+			n.addEvent(effect)
 		}
 	}
 	return outs
@@ -250,21 +250,21 @@
 	for name, counts := range n.Engine.Loads() {
 		service := n.snapshot.Service(name)
 		load := sparcontrol.ServiceLoad{Service: name, Revision: service.Revision}
-		any := false
+		loaded := false
 		for _, c := range counts {
 			load.Flows = append(load.Flows, c.Flows)
-			any = any || c.Flows > 0
+			loaded = loaded || c.Flows > 0
 		}
-		if any {
+		if loaded {
 			list = append(list, load)
 		}
 	}
 	return list
 }
 
-func (n *Node) note(note sparroute.Event) {
+func (n *Node) addEvent(e sparroute.Event) {
 	n.Timeline.Add(spartimeline.Event{
-		At: n.clock.Next(n.wall), VM: n.self.Name, Kind: note.Kind,
-		Service: note.Service, Subject: note.Subject, Count: note.Count,
+		At: n.clock.Next(n.wall), VM: n.self.Name, Kind: e.Kind,
+		Service: e.Service, Subject: e.Subject, Count: e.Count,
 	})
 }
--- a/internal/vm/sparnode/random_test.go
+++ b/internal/vm/sparnode/random_test.go
@@ -13,19 +13,19 @@
 	"github.com/oleanderspar/oleanderspar/internal/vm/sparnode"
 )
 
-// story is a random run of changes and failures over a small deployment.
-type story struct {
+// scenario is a random sequence of changes and failures in a small deployment.
+type scenario struct {
 	*lab
 	t      *rapid.T
-	states map[int]string // state by number: serve or drain
+	states map[int]string // by number of the upstream: serve or drain
 	flows  []*labFlow
 	booted int
 	opened int
 }
 
-func newStory(outer testing.TB, t *rapid.T) *story {
-	s := &story{lab: newLab(outer, rapid.Uint64Range(1, 1<<20).Draw(t, "seed")), t: t, states: map[int]string{}}
-	s.traces = true
+func newScenario(outer testing.TB, t *rapid.T) *scenario {
+	s := &scenario{lab: newLab(outer, rapid.Uint64Range(1, 1<<20).Draw(t, "seed")), t: t, states: map[int]string{}}
+	s.tracing = true
 	for range 5 {
 		s.bootOne()
 	}
@@ -39,17 +39,17 @@
 	return s
 }
 
-func (s *story) bootOne() {
+func (s *scenario) bootOne() {
 	s.booted++
 	s.boot(fmt.Sprintf("vm-%d", s.booted), fmt.Sprintf("domain-%d", s.booted%3))
 }
 
-// write puts the upstreams as they are now into the document.
-func (s *story) write() {
+// write writes a document with the current states of the upstreams.
+func (s *scenario) write() {
 	d := document(1, 0)
 	d.Spread = 0.02
 	for i := 1; i <= 12; i++ {
-		m := sparconfig.Member{At: upperAt(1, i), State: s.states[i]}
+		m := sparconfig.Member{At: upstreamAt(1, i), State: s.states[i]}
 		if m.State == sparconfig.Drain {
 			m.Until = s.wall().Add(time.Hour).Unix()
 		}
@@ -60,35 +60,35 @@
 	s.serve("booking", d)
 }
 
-// openSome opens flows without waiting for all of them.
-func (s *story) openSome() {
+// openSome opens flows without waiting until all are open.
+func (s *scenario) openSome() {
 	for range 60 {
 		s.opened++
 		f := &labFlow{service: "booking"}
-		f.tuple.Caller = caller(s.opened)
+		f.tuple.Caller = client(s.opened)
 		f.tuple.Service = endpoint("198.51.100.1:443")
 		f.tuple.Proto = 6
 		s.flows = append(s.flows, f)
-		s.knock(f)
+		s.sendSYN(f)
 	}
 	s.run(200 * time.Millisecond)
 	for _, f := range s.flows {
 		if !f.open && !f.refused && f.broken == "" {
-			s.knock(f)
+			s.sendSYN(f)
 		}
 	}
 }
 
-func (s *story) live() (n int) {
+func (s *scenario) live() (n int) {
 	for _, vm := range s.vms {
-		if !vm.dead && !vm.frozen && vm.node.Tracker.State() == "serving" {
+		if !vm.stopped && !vm.frozen && vm.node.Tracker.State() == "serving" {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *story) serving() (n int) {
+func (s *scenario) serving() (n int) {
 	for _, state := range s.states {
 		if state == sparconfig.Serve {
 			n++
@@ -97,9 +97,9 @@
 	return n
 }
 
-// step does one thing. None of them may break a flow: also after a kill, every flow
-// can be found again.
-func (s *story) step() {
+// step makes one random change. No change may break a flow: even after a kill, a search
+// finds the upstream of every flow.
+func (s *scenario) step() {
 	i := rapid.IntRange(1, 12).Draw(s.t, "upstream")
 	switch what := rapid.SampledFrom([]string{
 		"drain", "serve", "join", "leave", "kill", "freeze", "resume", "cut", "heal", "loss", "platform", "talk", "open", "wait",
@@ -133,7 +133,7 @@
 			vm.frozen = false
 		}
 	case "cut":
-		s.cutOff(fmt.Sprintf("domain-%d", i%3))
+		s.partition(fmt.Sprintf("domain-%d", i%3))
 	case "heal":
 		s.heal()
 	case "loss":
@@ -141,7 +141,7 @@
 	case "platform":
 		s.down = !s.down
 	case "talk":
-		s.talk(s.flows, time.Second)
+		s.exchange(s.flows, time.Second)
 	case "open":
 		s.openSome()
 	}
@@ -149,16 +149,16 @@
 }
 
 // pick returns a serving VM that is not frozen.
-func (s *story) pick() *labVM {
+func (s *scenario) pick() *labVM {
 	n := rapid.IntRange(0, len(s.vms)-1).Draw(s.t, "vm")
-	if vm := s.vms[n]; !vm.dead && !vm.frozen && vm.node.Tracker.State() == "serving" {
+	if vm := s.vms[n]; !vm.stopped && !vm.frozen && vm.node.Tracker.State() == "serving" {
 		return vm
 	}
 	return nil
 }
 
-// TestMain fixes the seed of the random runs, so that their verdict is the same each
-// time. -rapid.seed on the command line still wins.
+// TestMain sets the seed of the random runs, so that their result is reproducible.
+// -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "60", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -170,7 +170,7 @@
 
 func TestRandomChangesBreakNothing(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := newStory(t, r)
+		s := newScenario(t, r)
 		for range rapid.IntRange(1, 25).Draw(r, "steps") {
 			s.step()
 		}
@@ -183,15 +183,15 @@
 		n := s.broken(s.flows)
 		for _, f := range s.flows {
 			if f.broken != "" {
-				r.Logf("%s %s, home %s, trail:", f.tuple.Caller, f.broken, f.home)
-				for _, line := range f.trail {
+				r.Logf("%s %s, upstream %s, trace:", f.tuple.Caller, f.broken, f.upstream)
+				for _, line := range f.trace {
 					r.Log(line)
 				}
 				break
 			}
 		}
-		if n > 0 || s.strays > 0 {
-			r.Fatalf("%d of %d flows broken, %d packets at another service", n, len(s.flows), s.strays)
+		if n > 0 || s.misrouted > 0 {
+			r.Fatalf("%d of %d flows broken, %d packets at another service", n, len(s.flows), s.misrouted)
 		}
 	})
 }
--- a/internal/vm/sparnode/slope_test.go
+++ b/internal/vm/sparnode/scale_test.go
@@ -9,8 +9,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/vm/sparnode"
 )
 
-// BenchmarkVMs reports what one VM spends for control as the VMs, services and changes
-// of its deployment grow: the slopes of docs/CAPACITY.md.
+// BenchmarkVMs reports the cost of control traffic for one VM as the number of VMs, services
+// and changes grows. docs/CAPACITY.md gives the resulting slopes.
 func BenchmarkVMs(b *testing.B) {
 	cases := []struct{ vms, services, changesPerMinute int }{
 		{4, 1, 0}, {8, 1, 0}, {16, 1, 0}, {32, 1, 0},
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -7,19 +7,19 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// Reading merges a whole reading of the platform.
+// Reading merges a full read of the platform.
 func (n *Node) Reading(entries []sparregistry.Entry, revision uint64) {
-	n.adopt(n.registry.Reading(entries, revision))
+	n.setRegistry(n.registry.Reading(entries, revision))
 }
 
-// Merge merges what a peer sent. Where that does not suffice the digests go on to differ,
-// and everything is pulled next.
+// Merge merges the settings that a peer sent. If changes are still missing, the digests
+// keep differing and the next pull requests everything.
 func (n *Node) Merge(s sparregistry.Share) {
 	next, _ := n.registry.WithShare(s)
-	n.adopt(next)
+	n.setRegistry(next)
 }
 
-func (n *Node) adopt(next sparregistry.Registry) {
+func (n *Node) setRegistry(next sparregistry.Registry) {
 	changed := next.Digest() != n.registry.Digest()
 	n.registry = next
 	n.Tracker.List(sparconfig.VMs(next))
@@ -34,14 +34,15 @@
 	n.snapshot = n.snapshot.With(next)
 	n.Engine.Apply(n.snapshot)
 	n.inForce = next.Revision()
-	n.note(sparroute.Event{Kind: "in-force", Count: int(n.inForce)})
+	n.addEvent(sparroute.Event{Kind: "in-force", Count: int(n.inForce)})
 	for _, p := range n.snapshot.Problems {
-		n.note(sparroute.Event{Kind: "settings-refused", Service: p.Service, Subject: p.Cause, Count: int(p.Revision)})
+		n.addEvent(sparroute.Event{Kind: "settings-refused", Service: p.Service, Subject: p.Cause, Count: int(p.Revision)})
 	}
 }
 
-// newer returns a live peer with newer settings, or "".
-func (n *Node) newer() string {
+// newerPeer returns the live peer with the newest settings, if newer than those in force,
+// or "".
+func (n *Node) newerPeer() string {
 	best, revision := "", n.inForce
 	for _, h := range n.Tracker.Live(n.now) {
 		if h.Synced && h.Revision > revision {
@@ -51,8 +52,8 @@
 	return best
 }
 
-// pulls asks peers whose settings differ and are not older for what this VM lacks.
-// Where that did not help, it asks for everything.
+// pulls requests missing settings from a peer whose settings differ and are not older. If
+// that peer was asked before and still has the same digest, it requests everything.
 func (n *Node) pulls() []Output {
 	var outs []Output
 	for _, h := range n.Tracker.Live(n.now) {
@@ -60,16 +61,16 @@
 		if same || !h.Synced || h.Revision < n.inForce {
 			continue
 		}
-		last, asked := n.pulled[h.VM.Name]
-		if asked && n.now-last.at < pullEvery {
+		last, pulled := n.lastPulls[h.VM.Name]
+		if pulled && n.now-last.at < pullEvery {
 			continue
 		}
 		pull := Pull{From: h.VM, After: n.registry.Revision()}
-		again := asked && last.digest == h.Digest
-		if again || !n.registry.Synced() {
+		repeated := pulled && last.digest == h.Digest
+		if repeated || !n.registry.Synced() {
 			pull.After = 0
 		}
-		n.pulled[h.VM.Name] = pulled{at: n.now, digest: h.Digest}
+		n.lastPulls[h.VM.Name] = lastPull{at: n.now, digest: h.Digest}
 		outs = append(outs, pull)
 		break
 	}
--- a/internal/vm/sparnode/truth_test.go
+++ b/internal/vm/sparnode/status_test.go
@@ -10,14 +10,14 @@
 	"github.com/oleanderspar/oleanderspar/internal/vm/sparnode"
 )
 
-// survey asks the VMs that one of them expects, at different moments, as a reader does
-// whose answers take their time. VMs that cannot answer are silent.
-func (l *lab) survey(asker *labVM) *sparcontrol.SurveyReply {
-	reply := &sparcontrol.SurveyReply{Answered: []*sparcontrol.FactsReply{asker.node.Facts()}}
-	for _, vm := range asker.node.Expected() {
+// survey queries the VMs that one VM expects. The delays between the responses vary, as in
+// a real survey. VMs that cannot respond are reported as silent.
+func (l *lab) survey(requester *labVM) *sparcontrol.SurveyReply {
+	reply := &sparcontrol.SurveyReply{Answered: []*sparcontrol.FactsReply{requester.node.Facts()}}
+	for _, vm := range requester.node.Expected() {
 		l.run(time.Duration(l.rng.IntN(4)) * sparnode.TickEvery)
 		target := l.vm(vm.Name)
-		if target == nil || target.frozen || l.cut(asker.name, vm.Name) || l.cut(vm.Name, asker.name) {
+		if target == nil || target.frozen || l.blocked(requester.name, vm.Name) || l.blocked(vm.Name, requester.name) {
 			reply.Silent = append(reply.Silent, vm.Name)
 			continue
 		}
@@ -26,48 +26,48 @@
 	return reply
 }
 
-// lies compares a report with what the fakes know and returns the false lines.
-func (l *lab) lies(r sparstatus.Report) (lies []string) {
+// falseLines returns the lines of a report that contradict the state of the lab.
+func (l *lab) falseLines(r sparstatus.Report) (lines []string) {
 	for _, f := range r.Facts {
 		if f.Everywhere > 0 {
 			for _, vm := range l.vms {
 				s := vm.node.Snapshot().Service(f.Service)
-				if !vm.dead && vm.node.Tracker.State() == "serving" && (s == nil || s.Revision < f.Everywhere) {
-					lies = append(lies, f.Text+" but not at "+vm.name)
+				if !vm.stopped && vm.node.Tracker.State() == "serving" && (s == nil || s.Revision < f.Everywhere) {
+					lines = append(lines, f.Text+" but not at "+vm.name)
 				}
 			}
 		}
 		if f.Drained != 0 {
-			for flow := range l.uppers[f.Drained].conns {
+			for flow := range l.upstreams[f.Drained].conns {
 				if flow.open && flow.broken == "" {
-					lies = append(lies, f.Text+" but "+flow.tuple.Caller.String()+" is there")
+					lines = append(lines, f.Text+" but "+flow.tuple.Caller.String()+" is there")
 				}
 			}
 		}
 	}
 	if r.Revision > l.revision {
-		lies = append(lies, "a revision that was never written")
+		lines = append(lines, "a revision that was never written")
 	}
-	return lies
+	return lines
 }
 
 func TestStatusIsTrueWhenRead(t *testing.T) {
 	const reads = 150
-	false_, facts, unknown, drainedSeen := 0, 0, 0, 0
+	wrong, facts, unknown, drainedSeen := 0, 0, 0, 0
 	for seed := range uint64(6) {
 		l, d, flows := booking(t, 200+seed, 2000)
-		draining := upperAt(1, 3)
+		draining := upstreamAt(1, 3)
 		for i := range reads {
-			l.disturb(i, d, draining)
-			l.leaveSome(flows, draining)
-			asker := l.spray()
-			if asker == nil || asker.dead || asker.frozen {
+			l.inject(i, d, draining)
+			l.endSome(flows, draining)
+			requester := l.spray()
+			if requester == nil || requester.stopped || requester.frozen {
 				continue
 			}
-			r := sparstatus.Judge(l.survey(asker))
-			for _, lie := range l.lies(r) {
-				false_++
-				t.Errorf("seed %d, read %d: %s", 200+seed, i, lie)
+			r := sparstatus.Judge(l.survey(requester))
+			for _, line := range l.falseLines(r) {
+				wrong++
+				t.Errorf("seed %d, read %d: %s", 200+seed, i, line)
 			}
 			for _, f := range r.Facts {
 				facts++
@@ -81,25 +81,25 @@
 		}
 	}
 	t.Logf("%d lines read, %.1f%% not confirmed, %d said drained", facts, 100*float64(unknown)/float64(facts), drainedSeen)
-	assertAtMost(t, "false lines", false_, 0)
+	assertAtMost(t, "false lines", wrong, 0)
 	if drainedSeen == 0 {
-		t.Error("drained was never said: the case shows nothing")
+		t.Error("no line said drained: the test shows nothing")
 	}
 }
 
-// leaveSome ends some of the flows at a draining upstream.
-func (l *lab) leaveSome(flows []*labFlow, at string) {
+// endSome ends some of the flows at a draining upstream.
+func (l *lab) endSome(flows []*labFlow, at string) {
 	n := 0
 	for _, f := range flows {
-		if f.open && f.home == endpoint(at) && n < 4 {
+		if f.open && f.upstream == endpoint(at) && n < 4 {
 			l.end(f)
 			n++
 		}
 	}
 }
 
-// disturb makes something happen at some of the reads.
-func (l *lab) disturb(i int, d sparconfig.Document, draining string) {
+// inject makes a change or a failure at some of the reads.
+func (l *lab) inject(i int, d sparconfig.Document, draining string) {
 	switch i {
 	case 5:
 		l.serve("booking", l.drained(d, draining))
@@ -123,11 +123,11 @@
 	case 90:
 		l.vm("vm-2").node.Stop()
 	case 100:
-		l.vm("vm-2").dead = true
+		l.vm("vm-2").stopped = true
 		delete(l.entries, sparconfig.VMKey("vm-2"))
 		l.revision++
 	case 110:
-		l.cutOff("domain-0")
+		l.partition("domain-0")
 	case 125:
 		l.heal()
 	}
--- a/internal/vm/sparnode/streams.go
+++ b/internal/vm/sparnode/streams.go
@@ -9,7 +9,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/route/sparroute"
 )
 
-func (n *Node) take(m sparcontrol.Message) {
+func (n *Node) receiveMessage(m sparcontrol.Message) {
 	s := n.stream(m.Name)
 	if s == nil {
 		return
@@ -24,7 +24,7 @@
 	}
 }
 
-// stream returns the stream to a peer that has been heard, or nil.
+// stream returns the stream to a peer that has sent heartbeats, or nil.
 func (n *Node) stream(peer string) *sparstream.Stream[sparroute.Message] {
 	if s := n.streams[peer]; s != nil {
 		return s
--- a/internal/vm/sparnode/sweep.go
+++ b/internal/vm/sparnode/sweep.go
@@ -10,20 +10,20 @@
 
 const (
 	sweepEvery = time.Second
-	// claimRest is how long a claim stays after the last document that used it. It is
-	// longer than a writer may take between its claim and its document.
-	claimRest = time.Minute
+	// claimGrace is how long a claim stays after it is no longer used. It is longer than
+	// a writer may take between writing a claim and writing the document that uses it.
+	claimGrace = time.Minute
 )
 
 type (
-	// Sweep deletes a claim that nothing uses, if it is still at a revision.
+	// Sweep deletes an unused claim if its revision has not changed.
 	Sweep struct {
 		Key      string
 		Revision uint64
 	}
 
-	// unused is a claim without a document that names its address.
-	unused struct {
+	// unusedClaim is a claim without a document that names its address.
+	unusedClaim struct {
 		revision uint64
 		since    time.Duration
 	}
@@ -31,41 +31,41 @@
 
 func (Sweep) output() {}
 
-// sweeps releases claims. The first member of the view does so, and only while every
-// VM that should answer has confirmed the settings that no longer use them: until then
-// some VM may still send packets to the address.
+// sweeps releases unused claims. Only the first member of the view does so, and only while
+// every VM that should respond has these settings in force. Until then some VM may still
+// send packets to the address of a claim.
 func (n *Node) sweeps() []Output {
-	if n.now-n.swept < sweepEvery {
+	if n.now-n.lastSweep < sweepEvery {
 		return nil
 	}
-	n.swept = n.now
+	n.lastSweep = n.now
 	members := n.Engine.View().Members
 	if len(members) == 0 || members[0].VM.Name != n.self.Name || !n.confirmed() {
-		clear(n.unused)
+		clear(n.unusedClaims)
 		return nil
 	}
 	used := n.usedClaims()
 	var outs []Output
 	for _, e := range n.registry.Under(sparconfig.ClaimPrefix) {
 		if used[e.Key] == string(e.Value) {
-			delete(n.unused, e.Key)
+			delete(n.unusedClaims, e.Key)
 			continue
 		}
-		u, known := n.unused[e.Key]
+		u, known := n.unusedClaims[e.Key]
 		if !known || u.revision != e.Revision {
-			n.unused[e.Key] = unused{revision: e.Revision, since: n.now}
+			n.unusedClaims[e.Key] = unusedClaim{revision: e.Revision, since: n.now}
 			continue
 		}
-		if n.now-u.since >= claimRest {
-			delete(n.unused, e.Key)
+		if n.now-u.since >= claimGrace {
+			delete(n.unusedClaims, e.Key)
 			outs = append(outs, Sweep{Key: e.Key, Revision: e.Revision})
 		}
 	}
 	return outs
 }
 
-// usedClaims returns the owner of each claim that a document in force or held in the
-// platform names.
+// usedClaims returns the service of each claim that a document names, be it in force or
+// only on the platform.
 func (n *Node) usedClaims() map[string]string {
 	used := map[string]string{}
 	for name, s := range n.snapshot.Services() {
@@ -93,7 +93,7 @@
 	}
 }
 
-// confirmed reports whether every VM that should answer has these settings in force.
+// confirmed reports whether every VM that should respond has these settings in force.
 func (n *Node) confirmed() bool {
 	same := map[string]bool{}
 	for _, h := range n.Tracker.Live(n.now) {
