--- a/internal/route/sparroute/place.go
+++ b/internal/route/sparroute/place.go
@@ -84,7 +84,7 @@
 }
 
 // commit opens a flow at an upstream. An override is first sent to the standbys. While the
-// view is not settled, the flow goes to the default upstream instead.
+// view is not settled, the flow goes to the default upstream instead, or is dropped.
 func (e *Engine) commit(g *group, sl *slot, key sparflow.Key, upstream, avoid sparflow.Endpoint) Verdict {
 	f := flow{upstream: upstream, changed: e.seconds()}
 	if upstream == sl.defaultUpstream {
--- a/internal/route/sparroute/verdict.go
+++ b/internal/route/sparroute/verdict.go
@@ -92,7 +92,7 @@
 		Key sparflow.Key
 	}
 
-	// Event is an event for the time line.
+	// Event is an entry for the time line of the VM.
 	Event struct {
 		Kind    string
 		Service string
--- a/internal/vm/sparnode/failure_test.go
+++ b/internal/vm/sparnode/failure_test.go
@@ -171,8 +171,8 @@
 	l.run(4 * time.Second)
 	l.broken(flows)
 	for _, f := range flows {
-		gone := f.upstream.String() == upstreamAt(1, 3)
-		if gone != (f.broken == "aborted") {
+		removed := f.upstream.String() == upstreamAt(1, 3)
+		if removed != (f.broken == "aborted") {
 			t.Fatalf("flow at %s: %q after the deadline of %s", f.upstream, f.broken, upstreamAt(1, 3))
 		}
 	}
@@ -296,8 +296,8 @@
 			l.run(2 * time.Second)
 			l.broken(flows)
 			for _, f := range flows {
-				gone := f.upstream == endpoint(upstreamAt(1, bigUpstreams))
-				if gone != (f.broken != "") {
+				removed := f.upstream == endpoint(upstreamAt(1, bigUpstreams))
+				if removed != (f.broken != "") {
 					t.Fatalf("flow at %s: %q", f.upstream, f.broken)
 				}
 			}
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -53,7 +53,7 @@
 }
 
 // pulls requests missing settings from a peer whose settings differ and are not older. If
-// that peer was asked before and still has the same digest, it requests everything.
+// a pull from that peer did not help, its digest being the same, it requests everything.
 func (n *Node) pulls() []Output {
 	var outs []Output
 	for _, h := range n.Tracker.Live(n.now) {
