--- a/internal/member/sparsync/fleet_test.go
+++ b/internal/member/sparsync/fleet_test.go
@@ -9,51 +9,52 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// fleet is a number of VMs with the settings that they have in bytes.
+// fleet is a deployment of n VMs with settings of size bytes.
 type fleet struct {
 	n, size int
-	bound   time.Duration // settings in force
-	ready   time.Duration // bound from the last start until all VMs hold settings
+	bound   time.Duration // within which settings must be in force
+	ready   time.Duration // limit from the last start until all VMs have settings
 }
 
-// fleets are a site, a large site after a change by 1,400 routes, and the size aimed at.
+// fleets are a small site, a site, a large site after a change of 1,400 routes, and the
+// target size.
 var fleets = []fleet{
 	{8, smallSettings, bound, 300 * time.Millisecond},
 	{90, 250_000, bound, 2 * time.Second},
 	{300, 650_000, bound, 2 * time.Second},
-	{1400, largeSettings, farBound, 5 * time.Second},
+	{1400, largeSettings, largeBound, 5 * time.Second},
 }
 
-// settled returns a fleet on slow links that has run for a while.
-func (f fleet) settled(t *testing.T) *lab {
-	l := newBoundLab(t, f.n, f.bound)
-	l.size, l.links = f.size, true
-	l.changing(max(5*time.Second, f.bound))
-	return l
+// settled returns a simulation of the fleet on slow links that has run for a while.
+func (f fleet) settled(t *testing.T) *sim {
+	s := newBoundSim(t, f.n, f.bound)
+	s.size, s.slowLinks = f.size, true
+	s.churn(max(5*time.Second, f.bound))
+	return s
 }
 
-// restart ends VMs and starts them again within 0.3 s.
-func (l *lab) restart(vms []*member, down time.Duration) {
+// restart kills VMs and, after down, starts them again within 0.3 s.
+func (s *sim) restart(vms []*member, down time.Duration) {
 	for _, m := range vms {
 		m.kill()
 	}
-	l.run(down)
+	s.run(down)
 	for i := range 30 {
 		for j, m := range vms {
 			if j*30/len(vms) == i {
 				m.start()
 			}
 		}
-		l.run(step)
+		s.run(step)
 	}
 }
 
-// waitReady fails where VMs take longer than d to hold settings.
-func (l *lab) waitReady(d time.Duration) {
-	l.t.Helper()
-	for end := l.now + d; ; l.run(step) {
+// waitReady fails if a VM takes longer than d to get settings.
+func (s *sim) waitReady(d time.Duration) {
+	s.t.Helper()
+	for end := s.now + d; ; s.run(step) {
 		missing := 0
-		for _, m := range l.vms {
+		for _, m := range s.vms {
 			if m.running && !m.sync.Synced() {
 				missing++
 			}
@@ -61,104 +62,105 @@
 		if missing == 0 {
 			return
 		}
-		if l.now >= end {
-			l.t.Fatalf("%d VMs hold no settings %v after the start", missing, d)
+		if s.now >= end {
+			s.t.Fatalf("%d VMs have no settings %v after the start", missing, d)
 		}
 	}
 }
 
-// TestFleetStarts is the pattern of a black start: all VMs at once, the platform up.
+// TestFleetStarts plays a black start: all VMs start at once while the platform is up.
 func TestFleetStarts(t *testing.T) {
 	for _, f := range fleets {
 		t.Run(fmt.Sprint(f.n), func(t *testing.T) {
-			l := f.settled(t)
-			l.calls, l.read, l.busiest = 0, 0, 0
-			began := l.now + time.Second
-			l.restart(l.vms, time.Second)
-			l.waitReady(f.ready)
-			t.Logf("%d VMs ready after %v, %d calls, %d KB read", f.n, l.now-began, l.calls, l.read/1000)
-			if most := 8 + f.n/4; l.calls > most {
-				t.Errorf("%d calls, want at most %d", l.calls, most)
+			s := f.settled(t)
+			s.calls, s.read, s.busiest = 0, 0, 0
+			began := s.now + time.Second
+			s.restart(s.vms, time.Second)
+			s.waitReady(f.ready)
+			t.Logf("%d VMs ready after %v, %d calls, %d KB read", f.n, s.now-began, s.calls, s.read/1000)
+			if most := 8 + f.n/4; s.calls > most {
+				t.Errorf("%d calls, want at most %d", s.calls, most)
 			}
-			if l.busiest > 2 {
-				t.Errorf("a VM hands its settings to %d at once, want at most 2", l.busiest)
+			if s.busiest > 2 {
+				t.Errorf("a VM hands its settings to %d at once, want at most 2", s.busiest)
 			}
-			l.changing(6 * time.Second)
+			s.churn(6 * time.Second)
 		})
 	}
 }
 
-// TestFleetStartsWithoutSeeds is a black start in which the VMs that others ask stay away.
+// TestFleetStartsWithoutSeeds plays a black start in which the seeds stay down.
 func TestFleetStartsWithoutSeeds(t *testing.T) {
 	f := fleets[2]
-	l := f.settled(t)
-	for _, seed := range l.vms[:3] {
+	s := f.settled(t)
+	for _, seed := range s.vms[:3] {
 		seed.kill()
 	}
-	l.restart(l.vms[3:], time.Second)
-	l.waitReady(5 * time.Second)
-	l.changing(6 * time.Second)
+	s.restart(s.vms[3:], time.Second)
+	s.waitReady(5 * time.Second)
+	s.churn(6 * time.Second)
 }
 
-// TestFleetStartsWithoutPlatform is a black start while the platform is away: VMs get
-// settings once it is back, and a few try it meanwhile.
+// TestFleetStartsWithoutPlatform plays a black start while the platform is down. A few VMs
+// retry it meanwhile, and all VMs must get settings once it is back.
 func TestFleetStartsWithoutPlatform(t *testing.T) {
 	f := fleets[2]
-	l := f.settled(t)
-	for _, m := range l.vms {
+	s := f.settled(t)
+	for _, m := range s.vms {
 		m.refused = true
 	}
-	l.calls = 0
-	l.restart(l.vms, time.Second)
-	l.run(4 * time.Second)
-	for _, m := range l.vms {
+	s.calls = 0
+	s.restart(s.vms, time.Second)
+	s.run(4 * time.Second)
+	for _, m := range s.vms {
 		m.refused = false
 	}
-	l.waitReady(5 * time.Second)
-	l.changing(6 * time.Second)
+	s.waitReady(5 * time.Second)
+	s.churn(6 * time.Second)
 }
 
-// TestOneRestarts is the usual restart: the VM gets its settings from peers without a call.
+// TestOneRestarts plays the restart of a single VM, which must get its settings from peers
+// without a call to the platform.
 func TestOneRestarts(t *testing.T) {
 	for _, f := range fleets[:3] {
 		t.Run(fmt.Sprint(f.n), func(t *testing.T) {
-			l := f.settled(t)
-			m := l.vms[f.n/2]
-			calls := l.calls
-			l.restart([]*member{m}, 500*time.Millisecond)
-			began := l.now
-			for !m.sync.Synced() && l.now-began < time.Second {
-				l.run(step)
+			s := f.settled(t)
+			m := s.vms[f.n/2]
+			calls := s.calls
+			s.restart([]*member{m}, 500*time.Millisecond)
+			began := s.now
+			for !m.sync.Synced() && s.now-began < time.Second {
+				s.run(step)
 			}
 			if m.readyAt == 0 || m.readyAt-began > 400*time.Millisecond {
 				t.Errorf("ready at %v, started before %v", m.readyAt, began)
 			}
-			if extra := l.calls - calls; extra > 4 {
+			if extra := s.calls - calls; extra > 4 {
 				t.Errorf("%d calls meanwhile", extra)
 			}
 		})
 	}
 }
 
-// TestStartBesideOldSettings starts a VM whose seeds hold settings that are too old to
-// serve by: it reads the platform.
+// TestStartBesideOldSettings starts a VM whose seed holds settings that are too old to
+// serve by. The VM must read the platform before it pulls them.
 func TestStartBesideOldSettings(t *testing.T) {
 	self := sparconfig.VM{Name: "vm-9", Control: "10.0.0.9:1"}
 	seed := sparconfig.VM{Name: "vm-1", Control: "10.0.0.1:1"}
 	s := sparsync.New(self, bound)
 	s.Seeds([]string{seed.Control})
 	now := time.Millisecond
-	if reads(s.Tick(now)) {
-		t.Fatal("reads the platform before a seed has had the time to answer")
+	if hasRead(s.Tick(now)) {
+		t.Fatal("reads the platform before a seed has had time to reply")
 	}
 	now += 5 * time.Millisecond
 	old := sparsync.Notice{From: seed, Reader: seed.Name, Round: 3, Revision: 7, Digest: 42, Age: bound}
 	for _, out := range s.Heard(old, now) {
 		if _, ok := out.(sparsync.Ask); ok {
-			t.Error("pulls old settings before it has tried the platform")
+			t.Error("pulls old settings before it has tried to read the platform")
 		}
 	}
-	if !reads(s.Tick(now)) {
+	if !hasRead(s.Tick(now)) {
 		t.Fatal("does not read the platform")
 	}
 	pulled := false
@@ -167,11 +169,11 @@
 		pulled = pulled || ok
 	}
 	if !pulled {
-		t.Error("leaves old settings where the platform does not answer")
+		t.Error("does not pull old settings when the platform does not answer")
 	}
 }
 
-func reads(outs []sparsync.Output) bool {
+func hasRead(outs []sparsync.Output) bool {
 	for _, out := range outs {
 		if _, ok := out.(sparsync.Read); ok {
 			return true
@@ -180,179 +182,180 @@
 	return false
 }
 
-// TestFleetUnderFaults plays what happens to large fleets beside a change every 0.7 s. The
-// lab checks all along that settings are in force within the bound wherever they can be.
+// TestFleetUnderFaults injects faults into large fleets with a change every 0.7 s. The
+// simulation checks throughout that settings are in force within the bound on each VM that
+// reaches the platform.
 func TestFleetUnderFaults(t *testing.T) {
 	faults := []struct {
 		name string
-		do   func(l *lab)
+		do   func(s *sim)
 	}{
-		{"reader killed during a large change", func(l *lab) {
-			l.change()
-			l.run(step)
-			r := l.reader()
+		{"reader killed during a large change", func(s *sim) {
+			s.change()
+			s.run(step)
+			r := s.reader()
 			r.kill()
-			l.changing(6 * time.Second)
+			s.churn(6 * time.Second)
 			r.start()
 		}},
-		{"a quarter refused by the platform for 9 s", func(l *lab) {
-			for i, m := range l.vms {
+		{"platform refuses a quarter of the VMs for 9 s", func(s *sim) {
+			for i, m := range s.vms {
 				m.refused = i%4 == 1
 			}
-			l.changing(9 * time.Second)
-			for _, m := range l.vms {
+			s.churn(9 * time.Second)
+			for _, m := range s.vms {
 				m.refused = false
 			}
 		}},
-		{"the reader and all VMs of its domain refused", func(l *lab) {
-			r := l.reader()
-			for _, m := range l.vms {
+		{"platform refuses the domain of the reader", func(s *sim) {
+			r := s.reader()
+			for _, m := range s.vms {
 				m.refused = m.vm.Domain == r.vm.Domain
 			}
-			l.changing(9 * time.Second)
-			for _, m := range l.vms {
+			s.churn(9 * time.Second)
+			for _, m := range s.vms {
 				m.refused = false
 			}
 		}},
-		{"half replaced in 10 s", func(l *lab) {
+		{"half of the VMs replaced in 10 s", func(s *sim) {
 			for i := 0; i < 20; i++ {
 				var some []*member
-				for j, m := range l.vms {
+				for j, m := range s.vms {
 					if j%40 == i {
 						some = append(some, m)
 					}
 				}
-				l.change()
-				l.restart(some, 200*time.Millisecond)
+				s.change()
+				s.restart(some, 200*time.Millisecond)
 			}
 		}},
-		{"a domain cut off during the start", func(l *lab) {
-			for _, m := range l.vms {
+		{"a domain partitioned during the start", func(s *sim) {
+			for _, m := range s.vms {
 				if m.vm.Domain == "domain-1" {
-					m.side, m.silent = 1, true
+					m.partition, m.silent = 1, true
 				}
 			}
-			l.restart(l.vms, time.Second)
-			l.changing(6 * time.Second)
-			for _, m := range l.vms {
-				m.side, m.silent = 0, false
+			s.restart(s.vms, time.Second)
+			s.churn(6 * time.Second)
+			for _, m := range s.vms {
+				m.partition, m.silent = 0, false
 			}
 		}},
-		{"one datagram in ten lost", func(l *lab) {
-			l.lost = 0.1
-			l.changing(10 * time.Second)
-			l.lost = 0
+		{"10% of datagrams lost", func(s *sim) {
+			s.loss = 0.1
+			s.churn(10 * time.Second)
+			s.loss = 0
 		}},
 	}
 	for _, f := range fleets[2:] {
 		for _, fault := range faults {
 			t.Run(fmt.Sprintf("%s, %d VMs", fault.name, f.n), func(t *testing.T) {
 				t.Parallel()
-				l := f.settled(t)
-				fault.do(l)
-				l.changing(6 * time.Second)
-				if l.busiest > 2 {
-					t.Errorf("a VM hands its settings to %d at once, want at most 2", l.busiest)
+				s := f.settled(t)
+				fault.do(s)
+				s.churn(6 * time.Second)
+				if s.busiest > 2 {
+					t.Errorf("a VM hands its settings to %d at once, want at most 2", s.busiest)
 				}
 			})
 		}
 	}
 }
 
-// TestPlatformAwayFromAFleet is the pattern of an outage of 5 s: a whole fleet must not
-// call a platform that does not answer, and hear at once of its return.
-func TestPlatformAwayFromAFleet(t *testing.T) {
+// TestPlatformOutage plays an outage of 5 s. The whole fleet must not call a platform that
+// does not answer, and must get the settings soon after its recovery.
+func TestPlatformOutage(t *testing.T) {
 	for _, kind := range []string{"refuses", "silent"} {
 		for _, f := range fleets[1:3] {
 			t.Run(fmt.Sprintf("%s, %d VMs", kind, f.n), func(t *testing.T) {
-				l := f.settled(t)
-				l.calls = 0
-				for _, m := range l.vms {
+				s := f.settled(t)
+				s.calls = 0
+				for _, m := range s.vms {
 					m.refused, m.silent = kind == "refuses", kind == "silent"
 				}
-				l.run(5 * time.Second)
-				for _, m := range l.vms {
+				s.run(5 * time.Second)
+				for _, m := range s.vms {
 					m.refused, m.silent = false, false
 				}
-				l.change()
-				l.run(2 * time.Second)
-				for _, m := range l.vms {
-					if m.held != l.revision {
-						t.Fatalf("%s holds revision %d of %d 2 s after the platform's return", m.vm.Name, m.held, l.revision)
+				s.change()
+				s.run(2 * time.Second)
+				for _, m := range s.vms {
+					if m.held != s.revision {
+						t.Fatalf("%s holds revision %d of %d 2 s after the platform's recovery", m.vm.Name, m.held, s.revision)
 					}
 				}
-				if most := 16*6 + f.n; l.calls > most {
-					t.Errorf("%d calls, want at most those of 16 VMs that try again, and one of each other, %d", l.calls, most)
+				if most := 16*6 + f.n; s.calls > most {
+					t.Errorf("%d calls, want at most %d: retries of 16 VMs and one call of each other VM", s.calls, most)
 				}
-				if l.busiest > 2 {
-					t.Errorf("a VM hands its settings to %d at once, want at most 2", l.busiest)
+				if s.busiest > 2 {
+					t.Errorf("a VM hands its settings to %d at once, want at most 2", s.busiest)
 				}
 			})
 		}
 	}
 }
 
-// TestSeedsStartLast is a black start in which the VMs that others ask come back half a
-// second after them.
+// TestSeedsStartLast plays a black start in which the seeds start half a second after the
+// other VMs.
 func TestSeedsStartLast(t *testing.T) {
 	f := fleets[2]
-	l := f.settled(t)
-	l.calls, l.read = 0, 0
-	for _, m := range l.vms {
+	s := f.settled(t)
+	s.calls, s.read = 0, 0
+	for _, m := range s.vms {
 		m.kill()
 	}
-	l.run(time.Second)
-	l.restart(l.vms[3:], 0)
-	l.run(200 * time.Millisecond)
-	for _, seed := range l.vms[:3] {
+	s.run(time.Second)
+	s.restart(s.vms[3:], 0)
+	s.run(200 * time.Millisecond)
+	for _, seed := range s.vms[:3] {
 		seed.start()
 	}
-	began := l.now
-	l.waitReady(2 * time.Second)
-	t.Logf("ready %v after the seeds, %d calls, %d KB read", l.now-began, l.calls, l.read/1000)
-	if most := 60 * l.size; l.read > most {
-		t.Errorf("%d bytes read, want at most %d: those of the first turns", l.read, most)
+	began := s.now
+	s.waitReady(2 * time.Second)
+	t.Logf("ready %v after the seeds, %d calls, %d KB read", s.now-began, s.calls, s.read/1000)
+	if most := 60 * s.size; s.read > most {
+		t.Errorf("%d bytes read, want at most %d: the reads of the first start steps", s.read, most)
 	}
-	l.changing(6 * time.Second)
+	s.churn(6 * time.Second)
 }
 
-// TestSmallFleetStarts is a black start of eight VMs whose seeds come last: those that are
-// back first serve at once, since nobody would gain if they waited.
+// TestSmallFleetStarts plays a black start of eight VMs whose seeds start late. The first VM
+// must read and serve at once, since waiting would gain nothing in a small fleet.
 func TestSmallFleetStarts(t *testing.T) {
 	f := fleets[0]
-	l := f.settled(t)
-	for _, m := range l.vms {
+	s := f.settled(t)
+	for _, m := range s.vms {
 		m.kill()
 	}
-	l.run(time.Second)
-	first := l.vms[5]
+	s.run(time.Second)
+	first := s.vms[5]
 	first.start()
-	began := l.now
-	l.run(100 * time.Millisecond)
+	began := s.now
+	s.run(100 * time.Millisecond)
 	if first.readyAt == 0 || first.readyAt-began > 60*time.Millisecond {
 		t.Errorf("ready at %v, started at %v, want at most 60 ms later", first.readyAt, began)
 	}
-	for _, m := range l.vms {
+	for _, m := range s.vms {
 		if m != first {
 			m.start()
 		}
 	}
-	l.waitReady(f.ready)
-	l.changing(6 * time.Second)
+	s.waitReady(f.ready)
+	s.churn(6 * time.Second)
 }
 
 // TestStartAloneBesideAFlakyPlatform starts a VM that reaches no other one while the
-// platform refuses its first calls: it is ready soon after they are taken.
+// platform refuses its first calls. It must be ready soon after the platform accepts them.
 func TestStartAloneBesideAFlakyPlatform(t *testing.T) {
-	l := fleets[0].settled(t)
-	for _, m := range l.vms {
+	s := fleets[0].settled(t)
+	for _, m := range s.vms {
 		m.kill()
 	}
-	l.run(time.Second)
-	m := l.vms[5]
+	s.run(time.Second)
+	m := s.vms[5]
 	m.refused = true
 	m.start()
-	l.run(400 * time.Millisecond)
+	s.run(400 * time.Millisecond)
 	m.refused = false
-	l.waitReady(500 * time.Millisecond)
+	s.waitReady(500 * time.Millisecond)
 }
--- a/internal/member/sparsync/outage.go
+++ b/internal/member/sparsync/outage.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// firstReaders is the number of VMs, in the order of names, that try the platform
-	// without regard to what others have seen: enough that not all are cut off from a
-	// platform that serves most.
+	// firstReaders is the number of VMs, highest precedence first, that try the platform
+	// even if other VMs report an outage. It is large enough that they are not all cut
+	// off from a platform that serves most VMs.
 	firstReaders = 16
-	// staggerSteps is the number of steps of a takeover. Each step, twice as many VMs as
-	// before have tried.
+	// staggerSteps is the number of steps of a takeover. Each step doubles the number of
+	// VMs that have tried to read.
 	staggerSteps = 8
-	// lateShare is how much later than before each doubling of them tries a platform that
-	// does not answer others, as a share of the time within which settings must be in force.
-	lateShare = 0.3
-	// outageFor is how long it is believed that the platform does not answer a VM.
-	outageFor = 3 * time.Second
-	// maxOutages is the number of them that a question tells.
+	// outageDelayShare is the extra delay of each doubling beyond firstReaders while other
+	// VMs report an outage, as a share of the bound.
+	outageDelayShare = 0.3
+	// outageTTL is how long a reported outage counts.
+	outageTTL = 3 * time.Second
+	// maxOutages is the number of outages that a query carries.
 	maxOutages = 4
 )
 
-// Outage says that the platform has not answered a VM, Age ago.
+// Outage reports that the platform failed to answer a VM, Age ago.
 type Outage struct {
 	VM  string
 	Age time.Duration
 }
 
-// takeoverDue reports whether this VM, which hears nothing recent, is to read the platform.
-// While others say that it does not answer them, those late in the order wait longer: a
-// platform that is away is not called by a whole fleet.
+// takeoverDue reports whether this VM, whose settings are old, is to read the platform.
+// While other VMs report an outage, VMs of lower precedence wait longer, so that a whole
+// fleet does not call a platform that is down.
 func (s *Sync) takeoverDue(now time.Duration) bool {
 	if s.Age(now) < s.share(takeoverShare) {
 		return false
@@ -40,41 +40,42 @@
 	rank := s.rank()
 	step := min(bits.Len(uint(rank)), staggerSteps)
 	due := s.share(takeoverShare) + s.share(staggerShare)*time.Duration(step)/staggerSteps
-	if late := bits.Len(uint(rank / firstReaders)); late > 0 && s.away(now) {
-		due += s.share(lateShare) * time.Duration(late)
+	if doublings := bits.Len(uint(rank / firstReaders)); doublings > 0 && s.outageReported(now) {
+		due += s.share(outageDelayShare) * time.Duration(doublings)
 	}
 	return s.Age(now) >= due
 }
 
-// rank returns the place of this VM in the order of names.
+// rank returns the position of this VM in the order of precedence, 0 for the highest.
 func (s *Sync) rank() int { return slices.Index(s.names(0), s.self.Name) }
 
-// retryAfter returns how long to wait before the platform is tried again, and makes the next
-// wait longer. Those late in the order try seldom, so that a fleet calls at a steady rate.
-func (s *Sync) retryAfter() time.Duration {
+// nextBackoff returns how long to wait before the platform is tried again, and doubles the
+// next delay up to maxBackoff. The delay of VMs beyond firstReaders grows with their rank
+// instead, so that the rate of calls does not grow with the fleet.
+func (s *Sync) nextBackoff() time.Duration {
 	if group := s.rank() / firstReaders; group > 0 && s.Synced() {
-		return retryLast * time.Duration(1+group)
+		return maxBackoff * time.Duration(1+group)
 	}
-	wait := s.retry
-	s.retry = min(2*s.retry, retryLast)
+	wait := s.backoff
+	s.backoff = min(2*s.backoff, maxBackoff)
 	return wait
 }
 
-// away reports whether another VM has said lately that the platform does not answer it.
-func (s *Sync) away(now time.Duration) bool {
+// outageReported reports whether an outage is on record that is younger than outageTTL.
+func (s *Sync) outageReported(now time.Duration) bool {
 	for _, at := range s.outages {
-		if now-at < outageFor {
+		if now-at < outageTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// learn takes what a peer knows of outages.
-func (s *Sync) learn(outages []Outage, now time.Duration) {
+// mergeOutages merges the outages reported by a peer.
+func (s *Sync) mergeOutages(outages []Outage, now time.Duration) {
 	for _, o := range outages {
 		at, known := s.outages[o.VM]
-		if o.Age < 0 || o.Age >= outageFor || known && now-o.Age <= at {
+		if o.Age < 0 || o.Age >= outageTTL || known && now-o.Age <= at {
 			continue
 		}
 		if !known && len(s.outages) >= maxOutages {
@@ -84,11 +85,11 @@
 	}
 }
 
-// knownOutages returns the outages that this VM knows of, and forgets the old ones.
-func (s *Sync) knownOutages(now time.Duration) []Outage {
+// recentOutages returns the outages on record, and deletes those older than outageTTL.
+func (s *Sync) recentOutages(now time.Duration) []Outage {
 	var list []Outage
 	for name, at := range s.outages {
-		if now-at >= outageFor {
+		if now-at >= outageTTL {
 			delete(s.outages, name)
 			continue
 		}
--- a/internal/member/sparsync/output.go
+++ b/internal/member/sparsync/output.go
@@ -7,70 +7,73 @@
 )
 
 type (
-	// Output is something for the shell to do. It is a sealed interface: Read, Peek, Ask,
-	// Enquire, Notify, Confirm,
-	// Enlist or Unlist.
+	// Output is an action for the caller to perform. It is a sealed interface: Read, Peek,
+	// Ask, Enquire, Notify, Confirm, Enlist or Unlist.
 	Output interface {
 		output()
 	}
 
-	// Read asks for a reading of the platform: of what has changed after a revision, or
-	// of everything where that is 0.
+	// Read requests a read of the platform: an incremental read of the changes after a
+	// revision, or a full read if After is 0.
 	Read struct {
 		After uint64
 	}
 
-	// Peek asks for the VMs that the platform lists. Peeked takes the answer.
+	// Peek requests the list of VMs registered at the platform. Its result goes to Peeked
+	// or PeekFailed.
 	Peek struct{}
 
-	// Ask pulls settings from a peer.
+	// Ask requests a pull of settings from a peer. Its result goes to Pulled, PullBusy or
+	// PullFailed.
 	Ask struct {
 		From  sparconfig.VM
-		After uint64 // only what changed later; 0 for everything
+		After uint64 // revision after which changes are pulled, 0 for a full copy
 	}
 
-	// Enquire asks a peer whether its settings are more recent.
+	// Enquire sends a query to a peer.
 	Enquire struct {
 		To    sparconfig.VM
 		Query Query
 	}
 
-	// Query is a question for a notice.
+	// Query asks a peer for a notification if its settings are fresher than Age, or if
+	// the sender has none.
 	Query struct {
 		From    sparconfig.VM
 		Synced  bool
 		Age     time.Duration
-		Outages []Outage // that the asker knows of
+		Outages []Outage // on record at the sender
 	}
 
-	// Notify tells a peer how old the settings here are.
+	// Notify sends a notification to a peer.
 	Notify struct {
 		To     sparconfig.VM
 		Notice Notice
 	}
 
-	// Confirm tells a peer that its notice arrived, or that it is to ask again later.
+	// Confirm acknowledges a notification of a peer, or tells a peer that sent a query to
+	// query again later.
 	Confirm struct {
 		To sparconfig.VM
 	}
 
-	// Enlist asks to put entries of VMs into the platform that have started lately.
+	// Enlist requests that VMs which have started recently are registered at the platform.
 	Enlist struct {
 		VMs []sparconfig.VM
 	}
 
-	// Unlist asks to take the entry of a VM out of the platform, since it has been silent
-	// for long. A VM that lives lists itself again.
+	// Unlist requests that the entry of a VM which has been silent for long is removed
+	// from the platform. A VM that still runs registers itself again.
 	Unlist struct {
 		Name string
 	}
 
-	// Notice says that the settings of a VM at Revision were complete Age ago. From is the
-	// VM to pull them from.
+	// Notice is a notification that the settings of a VM at Revision were complete Age
+	// ago. From is the VM to pull them from.
 	Notice struct {
 		From     sparconfig.VM
 		Reader   string // the VM that read the platform
-		Round    uint64 // of that reader, rising
+		Round    uint64 // counts the reads of Reader
 		Revision uint64
 		Digest   uint64
 		Age      time.Duration
--- a/internal/member/sparsync/peer.go
+++ b/internal/member/sparsync/peer.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// aliveFor is how long a peer counts as reachable after it was last heard.
+	// aliveFor is how long a peer counts as reachable after its last message.
 	aliveFor = 6 * time.Second
-	// maxOrders is the number of orders of names kept: one for takeovers, and one for
-	// each VM that has read lately.
+	// maxOrders is the number of orderings kept by Sync.names: one for precedence, and one
+	// for each VM that has read recently.
 	maxOrders = 8
 )
 
 // peer is another VM.
 type peer struct {
-	vm       sparconfig.VM
-	heard    time.Duration
-	known    bool          // listed by the platform, otherwise only heard
-	open     int           // notices sent since it was heard last
-	unheard  time.Duration // the first of them, or the last time that it was to be unlisted
-	enlisted time.Duration // when it was listed for it
+	vm              sparconfig.VM
+	lastSeen        time.Duration
+	registered      bool          // at the platform; otherwise only its messages were received
+	unanswered      int           // notifications sent since lastSeen
+	unansweredSince time.Duration // first unanswered notification, or last Unlist of the peer
+	requestedAt     time.Duration // last Enlist of the peer
 }
 
-// alive reports whether the peer was heard lately.
-func (p *peer) alive(now time.Duration) bool { return p.heard > 0 && now-p.heard < aliveFor }
+// alive reports whether the peer counts as reachable.
+func (p *peer) alive(now time.Duration) bool { return p.lastSeen > 0 && now-p.lastSeen < aliveFor }
 
-// List takes the VMs that the settings name. Others are forgotten once they are silent.
+// List sets the VMs that are registered in the settings. Other peers are deleted once
+// they are no longer reachable.
 func (s *Sync) List(vms []sparconfig.VM, now time.Duration) {
 	for _, p := range s.peers {
-		p.known = false
+		p.registered = false
 	}
 	for _, vm := range vms {
 		if vm.Name == s.self.Name {
 			continue
 		}
 		p := s.peer(vm)
-		p.vm, p.known = vm, true
+		p.vm, p.registered = vm, true
 	}
 	for name, p := range s.peers {
-		if !p.known && now-p.heard > aliveFor {
+		if !p.registered && now-p.lastSeen > aliveFor {
 			delete(s.peers, name)
 			clear(s.orders)
 		}
 	}
 }
 
-// alive notes that a peer was heard.
-func (s *Sync) alive(vm sparconfig.VM, now time.Duration) {
+// markAlive records that a message of a peer was received.
+func (s *Sync) markAlive(vm sparconfig.VM, now time.Duration) {
 	if vm.Name == "" || vm.Name == s.self.Name {
 		return
 	}
@@ -60,11 +61,12 @@
 	if vm.Control != "" {
 		p.vm = vm
 	}
-	p.heard, p.open = now, 0
+	p.lastSeen, p.unanswered = now, 0
 }
 
-// names returns this VM and its peers, those with the highest weight for slot first.
-// The order is kept until the peers change. It must not be written to.
+// names returns the names of this VM and its peers by descending rendezvous weight for
+// slot. Slot 0 gives the order of precedence, by which VMs read the platform. The result
+// is cached until the set of peers changes and must not be modified.
 func (s *Sync) names(slot int) []string {
 	if names := s.orders[slot]; names != nil {
 		return names
@@ -91,7 +93,7 @@
 	return names
 }
 
-// peer returns the peer called name, new where it was unknown.
+// peer returns the peer with the name of vm, and adds it if there is none.
 func (s *Sync) peer(vm sparconfig.VM) *peer {
 	p := s.peers[vm.Name]
 	if p == nil {
--- a/internal/member/sparsync/pull.go
+++ b/internal/member/sparsync/pull.go
@@ -8,111 +8,115 @@
 )
 
 const (
-	// changesPatience is how long a pull of changes is waited for before another is begun.
-	changesPatience = 250 * time.Millisecond
-	// wholePatience is the same for a pull of everything, which takes as many times longer
+	// deltaTimeout is the time after which a pull of changes no longer keeps another one
+	// from starting.
+	deltaTimeout = 250 * time.Millisecond
+	// fullTimeout is the same for a pull of everything, which takes correspondingly longer
 	// on a slow link.
-	wholePatience = time.Second
-	// busyWait is how long a peer that serves others is left alone: about what one of them
-	// takes.
-	busyWait = 100 * time.Millisecond
+	fullTimeout = time.Second
+	// overloadDelay is how long to wait before the next pull after a peer refused one because
+	// of overload: about the time that it takes to serve one pull.
+	overloadDelay = 100 * time.Millisecond
 )
 
-// wanted is settings that a peer has and this VM lacks.
-type wanted struct {
-	mark
+// target identifies the settings that the pull under way is to bring.
+type target struct {
+	readRound
 	digest  uint64
-	certain time.Duration
+	freshAt time.Duration
 }
 
-// Pulled takes the outcome of an Ask, after the registry has merged what came. The
-// settings of the peer were complete at the time given; complete says that the registry
-// holds at least what the peer holds. Where changes did not suffice for that, everything
-// is asked for.
-func (s *Sync) Pulled(from sparconfig.VM, reader string, certain time.Duration, complete bool, now time.Duration) []Output {
-	s.alive(from, now)
+// Pulled is called when an Ask has succeeded and the registry has merged the reply. The
+// settings of the peer were complete at freshAt. complete reports whether the registry now
+// holds at least what the peer holds; if the changes did not suffice for that, a full copy
+// is pulled.
+func (s *Sync) Pulled(from sparconfig.VM, reader string, freshAt time.Duration, complete bool, now time.Duration) []Output {
+	s.markAlive(from, now)
 	s.pulling = false
 	if !complete {
-		return []Output{s.ask(Ask{From: from}, now)}
+		return []Output{s.startPull(Ask{From: from}, now)}
 	}
-	s.wanted = wanted{}
-	s.confirm(certain, mark{reader: reader})
-	return slices.Concat(s.catchUp(now), s.tell(now), s.release(now))
+	s.target = target{}
+	s.markFresh(freshAt, readRound{reader: reader})
+	return slices.Concat(s.pullDeferred(now), s.forward(now), s.notifyWaiting(now))
 }
 
-// PullBusy takes the word of a peer that it serves too many others at the moment.
-// elsewhere, if it has a name, holds the same settings.
-func (s *Sync) PullBusy(from, elsewhere sparconfig.VM, now time.Duration) []Output {
-	s.alive(from, now)
-	s.start.answered = now
+// PullBusy is called when a peer refuses an Ask because it is overloaded. referral, if it
+// has a name, is another peer that holds the same settings.
+func (s *Sync) PullBusy(from, referral sparconfig.VM, now time.Duration) []Output {
+	s.markAlive(from, now)
+	s.start.lastReply = now
 	s.pulling = false
-	if s.missed.Reader == "" {
-		s.missed = s.asking
+	if s.deferred.Reader == "" {
+		s.deferred = s.current
 	}
-	s.pullAt = now + busyWait
-	if elsewhere.Name != "" && elsewhere.Name != s.self.Name {
-		s.missed.From, s.pullAt = elsewhere, now
+	s.nextPull = now + overloadDelay
+	if referral.Name != "" && referral.Name != s.self.Name {
+		s.deferred.From, s.nextPull = referral, now
 	}
-	return s.catchUp(now)
+	return s.pullDeferred(now)
 }
 
-// PullFailed takes the failure of an Ask.
+// PullFailed is called when an Ask has failed.
 func (s *Sync) PullFailed(now time.Duration) []Output {
 	s.pulling = false
-	return s.catchUp(now)
+	return s.pullDeferred(now)
 }
 
-// want asks a peer for settings that this VM lacks. One pull is under way at a time, and
-// none while a first reading of the platform is likely to bring everything.
-func (s *Sync) want(n Notice, now time.Duration) []Output {
-	if s.pullsStill(now) || now < s.pullAt || !s.Synced() && s.readsFirst(n, now) {
-		n.Age -= now // the time at which it was complete, until it is taken up again
-		s.missed = n
+// pull starts a pull of the settings that a peer announces, or defers it. Only one pull is
+// under way at a time, and none while the first read of the platform is likely to bring
+// everything.
+func (s *Sync) pull(n Notice, now time.Duration) []Output {
+	if s.pullPending(now) || now < s.nextPull || !s.Synced() && s.preferRead(n, now) {
+		n.Age -= now // age at time 0; pullDeferred converts it back
+		s.deferred = n
 		return nil
 	}
 	after := s.held.Revision
 	if !s.Synced() {
 		after = 0
 	}
-	s.wanted = wanted{
-		mark: mark{n.Reader, n.Round}, digest: n.Digest, certain: now - n.Age,
+	s.target = target{
+		readRound: readRound{n.Reader, n.Round}, digest: n.Digest, freshAt: now - n.Age,
 	}
-	s.asking = n
-	s.asking.Age -= now
-	return []Output{s.ask(Ask{From: n.From, After: after}, now)}
+	s.current = n
+	s.current.Age -= now
+	return []Output{s.startPull(Ask{From: n.From, After: after}, now)}
 }
 
-// ask begins a pull.
-func (s *Sync) ask(a Ask, now time.Duration) Output {
-	s.pulling, s.pullUntil = true, now+changesPatience
+// startPull records that a pull is under way, with its deadline.
+func (s *Sync) startPull(a Ask, now time.Duration) Output {
+	s.pulling, s.pullDeadline = true, now+deltaTimeout
 	if a.After == 0 {
-		s.pullUntil = now + wholePatience
+		s.pullDeadline = now + fullTimeout
 	}
 	return a
 }
 
-// pullsStill reports whether a pull is under way and still waited for.
-func (s *Sync) pullsStill(now time.Duration) bool { return s.pulling && now < s.pullUntil }
+// pullPending reports whether a pull is under way and has not timed out.
+func (s *Sync) pullPending(now time.Duration) bool { return s.pulling && now < s.pullDeadline }
 
-// readsFirst reports whether a VM without settings leaves those of a notice, since its own
-// reading of the platform will soon end, or since they are old and it has not tried to.
-func (s *Sync) readsFirst(n Notice, now time.Duration) bool {
-	if s.busy {
-		return now-s.readBegan < readPatience
+// preferRead reports whether a VM without settings does not pull those of a notification:
+// its own read of the platform is about to end, or the settings are old and it has not yet
+// tried to read.
+func (s *Sync) preferRead(n Notice, now time.Duration) bool {
+	if s.reading {
+		return now-s.readBegan < firstReadTimeout
 	}
 	return n.Age >= s.share(takeoverShare) && !s.failing
 }
 
-// catchUp takes up the last notice that could not be followed when it came.
-func (s *Sync) catchUp(now time.Duration) []Output {
-	n := s.missed
-	if n.Reader == "" || now < s.pullAt {
+// pullDeferred pulls the settings of the last deferred notification if they are still
+// missing.
+func (s *Sync) pullDeferred(now time.Duration) []Output {
+	n := s.deferred
+	if n.Reader == "" || now < s.nextPull {
 		return nil
 	}
-	s.missed = Notice{}
+	s.deferred = Notice{}
 	if n.Digest == s.held.Digest || s.Synced() && n.Revision < s.held.Revision {
 		return nil
 	}
 	n.Age += now
-	return s.want(n, now)
+	return s.pull(n, now)
 }
--- a/internal/member/sparsync/reader.go
+++ b/internal/member/sparsync/reader.go
@@ -7,30 +7,30 @@
 	"github.com/oleanderspar/oleanderspar/internal/flow/sparrank"
 )
 
-// Tick does what time makes due.
+// Tick returns the actions that are due at now. It must be called regularly.
 func (s *Sync) Tick(now time.Duration) []Output {
 	var outs []Output
 	if s.start.began == 0 {
 		s.start.began = now
 	}
 	if s.readDue(now) {
-		s.busy, s.readBegan = true, now
+		s.reading, s.readBegan = true, now
 		outs = append(outs, s.read(now))
 	}
-	if s.peekDue(now) {
-		s.start.peek.at = now
+	if s.listingDue(now) {
+		s.start.listing.at = now
 		outs = append(outs, Peek{})
 	}
-	if !s.pullsStill(now) {
-		outs = append(outs, s.catchUp(now)...)
+	if !s.pullPending(now) {
+		outs = append(outs, s.pullDeferred(now)...)
 	}
-	return slices.Concat(outs, s.asks(now), s.enlist(now))
+	return slices.Concat(outs, s.queryPeers(now), s.register(now))
 }
 
-// readDue reports whether this VM is to read the platform now. One that follows
-// does so only once its settings are old and the VMs before it have had their turn.
+// readDue reports whether this VM is to read the platform now. A follower does so only
+// once its settings are old and VMs of higher precedence have had time to take over.
 func (s *Sync) readDue(now time.Duration) bool {
-	if s.busy || now < s.readAt {
+	if s.reading || now < s.nextRead {
 		return false
 	}
 	if !s.Synced() {
@@ -39,9 +39,10 @@
 	return chart.Has(s.state, readsMark) || s.takeoverDue(now)
 }
 
-// read asks for a reading. Changes do where everything would be too much to read each
-// time. Just after an outage of the platform they do not: an entry may have lapsed that
-// is to be kept for a while, and only a whole reading tells that it is missing still.
+// read requests a read, an incremental one where a full read each time would exceed
+// controlRate. After a failure, and until the platform has settled, reads are full: an
+// entry that this VM keeps for a while may have expired, and only a full read shows whether
+// it is still missing.
 func (s *Sync) read(now time.Duration) Output {
 	budget := int(controlRate * s.share(readShare).Seconds())
 	if !s.Synced() || s.failing || s.Settling(now) || s.size <= budget {
@@ -50,85 +51,87 @@
 	return Read{After: s.held.Revision}
 }
 
-// ReadDone takes the outcome of a reading that began at a time. size is the number of
-// bytes of a whole reading, 0 for one of changes.
+// ReadDone is called when a read that began at began has succeeded and held is what the
+// registry now holds. size is the number of bytes of a full read, 0 for an incremental one.
 func (s *Sync) ReadDone(began time.Duration, held Held, size int, now time.Duration) []Output {
 	if size > 0 {
 		s.size = size
 	}
-	s.busy = false
+	s.reading = false
 	s.held = held
-	s.wanted, s.missed = wanted{}, Notice{}
+	s.target, s.deferred = target{}, Notice{}
 	if s.failing {
-		s.failing, s.returned = false, now
+		s.failing, s.recoveredAt = false, now
 	}
-	s.retry = retryFirst
-	s.readAt = began + s.share(readShare)
+	s.backoff = minBackoff
+	s.nextRead = began + s.share(readShare)
 	if s.Synced() {
 		s.state = chart.Next(s.state, "stale")
 	}
 	s.rounds++
 	clear(s.outages)
-	s.confirm(began, mark{s.self.Name, s.rounds})
-	return append(s.tell(now), s.release(now)...)
+	s.markFresh(began, readRound{s.self.Name, s.rounds})
+	return append(s.forward(now), s.notifyWaiting(now)...)
 }
 
-// ReadBroken takes a reading of changes that left some out, so that it proves nothing.
-// Everything is read in its place, and counts from then on.
+// ReadBroken is called when an incremental read lacks some changes, so that it says nothing
+// about freshness. A full read takes its place and begins at now.
 func (s *Sync) ReadBroken(now time.Duration) []Output {
 	s.readBegan = now
 	return []Output{Read{}}
 }
 
-// ReadFailed takes the failure of a reading.
+// ReadFailed is called when a read has failed.
 func (s *Sync) ReadFailed(now time.Duration) []Output {
-	s.busy, s.failing = false, true
-	s.readAt = now + s.retryAfter()
+	s.reading, s.failing = false, true
+	s.nextRead = now + s.nextBackoff()
 	s.outages[s.self.Name] = now
-	return s.catchUp(now)
+	return s.pullDeferred(now)
 }
 
-// yield leaves reading to the reader of a notice, if that one comes first in the
-// order of names or this VM cannot read.
-func (s *Sync) yield(n Notice) {
-	if !chart.Has(s.state, tellsMark) || n.Reader == s.self.Name || n.Age >= s.share(askShare) {
+// yieldTo stops this VM from reading if the reader of a notification has higher precedence,
+// or if the reads of this VM fail.
+func (s *Sync) yieldTo(n Notice) {
+	if !chart.Has(s.state, tellsMark) || n.Reader == s.self.Name || n.Age >= s.share(queryShare) {
 		return
 	}
-	if s.failing || s.before(n.Reader, s.self.Name) {
+	if s.failing || s.precedes(n.Reader, s.self.Name) {
 		s.state = chart.Next(s.state, "outranked")
 	}
 }
 
-// outrank tells a reader of one that comes before it. Their rounds may hide each
-// other: VMs pass on only what is more recent than what they know.
-func (s *Sync) outrank(n Notice, now time.Duration) []Output {
-	if n.From.Name != n.Reader || n.Reader == s.source.reader || s.Age(now) >= s.share(askShare) ||
-		!s.before(s.source.reader, n.Reader) {
+// notifyOutranked notifies a reader that another reader has higher precedence. The two
+// may never receive each other's notifications, since VMs forward only those that are
+// fresher than their own settings.
+func (s *Sync) notifyOutranked(n Notice, now time.Duration) []Output {
+	if n.From.Name != n.Reader || n.Reader == s.source.reader || s.Age(now) >= s.share(queryShare) ||
+		!s.precedes(s.source.reader, n.Reader) {
 		return nil
 	}
-	return []Output{Notify{To: n.From, Notice: s.notice(now)}}
+	return []Output{Notify{To: n.From, Notice: s.notification(now)}}
 }
 
-// before reports whether VM a comes before VM b in the order of names.
-func (s *Sync) before(a, b string) bool {
+// precedes reports whether VM a has higher precedence than VM b.
+func (s *Sync) precedes(a, b string) bool {
 	names := s.names(0)
 	first := slices.Index(names, a)
 	return first >= 0 && first < slices.Index(names, b)
 }
 
-// asks asks some peers in turn while the settings here are old: one that was heard
-// lately, one of the same failure domain, which a cut leaves in reach, and any one. Each VM
-// begins with another one, so that a fleet whose settings are old asks all of its VMs.
-func (s *Sync) asks(now time.Duration) []Output {
-	if s.asked > 0 && now-s.askedAt < askEvery || s.Synced() && s.Age(now) < s.share(askShare) {
+// queryPeers queries up to three peers in rotation while the settings are old: a reachable
+// one, one of the same failure domain, which a network partition usually leaves in reach,
+// and any one. Each VM starts the rotation at a different peer, so that a fleet whose
+// settings are old queries all of its VMs.
+func (s *Sync) queryPeers(now time.Duration) []Output {
+	if s.queries > 0 && now-s.queriedAt < queryInterval || s.Synced() && s.Age(now) < s.share(queryShare) {
 		return nil
 	}
-	s.askedAt = now
-	s.asked++
-	if s.asked == 1 && !s.Synced() {
-		return s.askSeeds(now)
+	s.queriedAt = now
+	s.queries++
+	if s.queries == 1 && !s.Synced() {
+		return s.querySeeds(now)
 	}
-	var heard, near, all []*peer
+	var recent, sameDomain, all []*peer
 	for _, name := range s.names(0) {
 		p := s.peers[name]
 		if p == nil {
@@ -136,18 +139,18 @@
 		}
 		all = append(all, p)
 		if p.alive(now) {
-			heard = append(heard, p)
+			recent = append(recent, p)
 		}
 		if p.vm.Domain == s.self.Domain {
-			near = append(near, p)
+			sameDomain = append(sameDomain, p)
 		}
 	}
 	all = append(all, s.seeds...)
-	turn := s.asked + int(sparrank.Name(s.self.Name)>>33)
+	offset := s.queries + int(sparrank.Name(s.self.Name)>>33)
 	var outs []Output
-	for _, peers := range [][]*peer{heard, near, all} {
+	for _, peers := range [][]*peer{recent, sameDomain, all} {
 		if len(peers) > 0 {
-			outs = append(outs, s.enquire(peers[turn%len(peers)].vm, now))
+			outs = append(outs, s.query(peers[offset%len(peers)].vm, now))
 		}
 	}
 	return outs
--- a/internal/member/sparsync/enlist_test.go
+++ b/internal/member/sparsync/register_test.go
@@ -9,16 +9,16 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// TestSeedsListThoseThatAsk is the first start of a fleet: 300 VMs ask all three seeds.
-// Each of them is listed by one seed, once, and a VM that is listed is left alone.
-func TestSeedsListThoseThatAsk(t *testing.T) {
+// TestSeedsRegisterVMs plays the first start of a fleet, in which 300 VMs query all three
+// seeds. Each VM must be registered once, by one seed, and a registered one not again.
+func TestSeedsRegisterVMs(t *testing.T) {
 	var seeds []sparconfig.VM
 	var controls []string
 	for i := range 3 {
 		vm := sparconfig.VM{Name: fmt.Sprintf("seed-%d", i), Data: "10.0.0.1:1", Control: fmt.Sprintf("10.0.0.%d:2", i)}
 		seeds, controls = append(seeds, vm), append(controls, vm.Control)
 	}
-	listed := map[string]int{}
+	registered := map[string]int{}
 	writes := 0
 	for _, seed := range seeds {
 		s := sparsync.New(seed, bound)
@@ -37,7 +37,7 @@
 				if e, ok := out.(sparsync.Enlist); ok {
 					writes++
 					for _, vm := range e.VMs {
-						listed[vm.Name]++
+						registered[vm.Name]++
 					}
 				}
 			}
@@ -45,11 +45,11 @@
 	}
 	for i := range 300 {
 		name := fmt.Sprintf("vm-%d", i)
-		if want := 1; name != "vm-7" && listed[name] != want || name == "vm-7" && listed[name] > 0 {
-			t.Errorf("%s was listed %d times", name, listed[name])
+		if want := 1; name != "vm-7" && registered[name] != want || name == "vm-7" && registered[name] > 0 {
+			t.Errorf("%s was registered %d times", name, registered[name])
 		}
 	}
 	if writes != len(seeds) {
-		t.Errorf("%d rounds of listing, want one of each seed", writes)
+		t.Errorf("%d writes, want one of each seed", writes)
 	}
 }
--- a/internal/member/sparsync/serve.go
+++ b/internal/member/sparsync/serve.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// wholesAtOnce is the number of peers that get all settings at a time. Where links are
-	// slow, settings spread fastest if few share one: those served can serve others.
-	wholesAtOnce = 2
-	// changesAtOnce is the same for changes, which are small.
-	changesAtOnce = 2 * fanOut
-	// maxHolders is the number of peers kept that hold the settings served last.
+	// maxFullPulls is the number of full copies served at a time. On slow links settings
+	// spread fastest if few pulls share a link, since a peer that has been served can serve
+	// others.
+	maxFullPulls = 2
+	// maxDeltaPulls is the same for changes, which are small.
+	maxDeltaPulls = 2 * fanOut
+	// maxHolders is the number of peers on record that hold the settings of this VM.
 	maxHolders = 16
 )
 
-// serving is whom this VM hands its settings to.
+// serving tracks the pulls that this VM serves.
 type serving struct {
-	wholes  int
-	changes int
-	digest  uint64          // of the settings that the holders have got
-	holders []sparconfig.VM // the last ones served
-	turn    int             // of the holder named next
+	full    int
+	deltas  int
+	digest  uint64          // of the settings that the holders have
+	holders []sparconfig.VM // peers served last, the latest at the end
+	next    int             // rotates the holders that peers are referred to
 }
 
-// Serve reports whether a peer is handed now what changed after a revision, or everything
-// where that is 0. If so, Served must follow. Otherwise elsewhere is a peer that holds the
-// same settings, the zero VM where none is known.
-func (s *Sync) Serve(to sparconfig.VM, after uint64) (elsewhere sparconfig.VM, ok bool) {
-	if s.full(after) {
+// Serve reports whether to serve the pull of a peer: the changes after a revision, or a full
+// copy if after is 0. If ok, the caller must call Served afterwards. Otherwise referral is a
+// peer that holds the same settings, or the zero VM if none is on record.
+func (s *Sync) Serve(to sparconfig.VM, after uint64) (referral sparconfig.VM, ok bool) {
+	if s.atLimit(after) {
 		return s.holder(to), false
 	}
-	*s.served(after)++
+	*s.active(after)++
 	return sparconfig.VM{}, true
 }
 
-// Served notes that a peer was handed the settings with a digest, or that this broke off.
-func (s *Sync) Served(to sparconfig.VM, after, digest uint64, whole bool) {
-	*s.served(after)--
-	if !whole || to.Name == "" || digest != s.held.Digest {
+// Served ends a pull that Serve admitted. digest is that of the settings sent; complete
+// reports whether the peer received all of them.
+func (s *Sync) Served(to sparconfig.VM, after, digest uint64, complete bool) {
+	*s.active(after)--
+	if !complete || to.Name == "" || digest != s.held.Digest {
 		return
 	}
 	v := &s.serving
@@ -53,37 +55,38 @@
 	v.holders = append(v.holders, to)
 }
 
-// served returns the number of peers that are handed as much at the moment.
-func (s *Sync) served(after uint64) *int {
+// active returns the number of pulls of the same kind that are being served, to be changed
+// by the caller.
+func (s *Sync) active(after uint64) *int {
 	if after == 0 {
-		return &s.serving.wholes
+		return &s.serving.full
 	}
-	return &s.serving.changes
+	return &s.serving.deltas
 }
 
-// full reports whether no more peers are handed as much at the moment.
-func (s *Sync) full(after uint64) bool {
+// atLimit reports whether no more pulls of the same kind may be served now.
+func (s *Sync) atLimit(after uint64) bool {
 	if after == 0 {
-		return s.serving.wholes >= wholesAtOnce
+		return s.serving.full >= maxFullPulls
 	}
-	return s.serving.changes >= changesAtOnce
+	return s.serving.deltas >= maxDeltaPulls
 }
 
-// holder names a peer that holds the settings of this VM: another one each time, of the
-// asker's failure domain where there is one.
-func (s *Sync) holder(asker sparconfig.VM) sparconfig.VM {
+// holder returns a peer that holds the settings of this VM, in rotation, preferably one in
+// the failure domain of the requester.
+func (s *Sync) holder(requester sparconfig.VM) sparconfig.VM {
 	v := &s.serving
 	if v.digest != s.held.Digest {
 		return sparconfig.VM{}
 	}
-	v.turn++
+	v.next++
 	var found sparconfig.VM
 	for i := range v.holders {
-		vm := v.holders[(i+v.turn)%len(v.holders)]
-		if vm.Name == asker.Name {
+		vm := v.holders[(i+v.next)%len(v.holders)]
+		if vm.Name == requester.Name {
 			continue
 		}
-		if vm.Domain == asker.Domain {
+		if vm.Domain == requester.Domain {
 			return vm
 		}
 		if found.Name == "" {
@@ -93,11 +96,12 @@
 	return found
 }
 
-// refer answers a peer that knows no settings: by a notice of this VM, or of one that
-// holds the same where this one is busy. Where there is none the peer is to ask again.
+// refer replies to a query of a peer that has no settings: with a notification to pull from
+// this VM, or from a peer that holds the same settings if this VM is overloaded. If there is
+// none, a Confirm makes the peer query again later.
 func (s *Sync) refer(to sparconfig.VM, now time.Duration) []Output {
-	n := s.notice(now)
-	if s.full(0) {
+	n := s.notification(now)
+	if s.atLimit(0) {
 		if n.From = s.holder(to); n.From.Name == "" {
 			return []Output{Confirm{To: to}}
 		}
--- /dev/null
+++ b/internal/member/sparsync/sim_test.go
@@ -0,0 +1,374 @@
+package sparsync_test
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/oleanderspar/oleanderspar/internal/member/sparsync"
+	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
+)
+
+const (
+	step         = 10 * time.Millisecond
+	bound        = 3 * time.Second  // within which settings must be in force, at present sites
+	largeBound   = 20 * time.Second // at the size expected in two years
+	oneWay       = 2 * time.Millisecond
+	callTime     = 8 * time.Millisecond
+	callTimeout  = 900 * time.Millisecond // of a platform that does not respond
+	tickInterval = 50 * time.Millisecond
+
+	smallSettings = 4_000     // bytes; each read is a full read
+	largeSettings = 2_300_000 // bytes of 7,800 upstreams and 1,300 routes
+	changeSize    = 500       // bytes of a change, and of a call that returns none
+	datagram      = 150       // bytes of a notification with its headers
+	compression   = 3         // ratio of the settings to their encoding in a pull
+
+	linkRate     = 20_000_000 / 8    // bytes a second, of a VM's link
+	platformRate = 1_000_000_000 / 8 // bytes a second, of the platform's link
+	pullTimeout  = 1500 * time.Millisecond
+	pageSize     = 1_000_000 // bytes of the response of a call
+)
+
+type (
+	// sim simulates VMs, the platform and the network between them. Settings are
+	// represented by their revision alone.
+	sim struct {
+		t            *testing.T
+		rng          *rand.Rand
+		now          time.Duration
+		revision     uint64
+		changed      time.Duration // when the revision last rose
+		vms          []*member
+		events       []event
+		calls        int
+		fullPulls    int            // pulls of full copies
+		sent         map[string]int // datagrams by VM
+		loss         float64        // share of datagrams lost
+		bound        time.Duration
+		size         int            // bytes of a full read
+		read         int            // bytes of all reads
+		deregistered map[string]int // by VM, number of requests to remove its entry
+		withholding  bool           // the platform omits the latest changes from incremental reads
+		slowest      time.Duration  // longest time from a change until all healthy VMs hold it
+		slowLinks    bool           // reads and pulls take time on the links
+		linkFree     time.Duration  // when the platform's link is free again
+		busiest      int            // most full pulls served at once by one VM
+	}
+
+	member struct {
+		sim         *sim
+		vm          sparconfig.VM
+		sync        *sparsync.Sync
+		held        uint64
+		incarnation int
+		running     bool
+		ticked      time.Duration
+		// Faults: the platform refuses calls or does not respond, and datagrams to this
+		// VM are lost.
+		refused, silent, unreachable bool
+		linkFree                     time.Duration // when the VM's link is free again
+		serving                      int
+		listVersion                  int           // of the list of VMs that it has adopted
+		readyAt                      time.Duration // when it got settings after its start
+		partition                    int           // VMs of different partitions do not reach each other
+		healthySince                 time.Duration // last time at which it was down or did not reach the platform
+	}
+
+	event struct {
+		at          time.Duration
+		to          *member
+		incarnation int
+		do          func()
+	}
+)
+
+func newSim(t *testing.T, n int) *sim { return newBoundSim(t, n, bound) }
+
+func newBoundSim(t *testing.T, n int, bound time.Duration) *sim {
+	s := &sim{t: t, bound: bound, rng: rand.New(rand.NewPCG(1, uint64(n))), revision: 10, size: smallSettings, sent: map[string]int{}, deregistered: map[string]int{}}
+	for i := range n {
+		vm := sparconfig.VM{Name: fmt.Sprintf("vm-%d", i), Domain: fmt.Sprintf("domain-%d", i%3), Control: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+1)}
+		s.vms = append(s.vms, &member{sim: s, vm: vm})
+	}
+	for _, m := range s.vms {
+		m.start()
+	}
+	return s
+}
+
+func (m *member) start() {
+	m.incarnation++
+	m.running, m.held, m.healthySince, m.readyAt, m.serving, m.listVersion = true, 0, m.sim.now, 0, 0, 0
+	m.ticked = m.sim.now - time.Duration(m.sim.rng.IntN(int(tickInterval)))
+	m.sync = sparsync.New(m.vm, m.sim.bound)
+	var seeds []string
+	for _, seed := range m.sim.vms[:min(3, len(m.sim.vms))] {
+		seeds = append(seeds, seed.vm.Control)
+	}
+	m.sync.Seeds(seeds)
+}
+
+func (m *member) kill() { m.running, m.incarnation = false, m.incarnation+1 }
+
+func (s *sim) schedule(to *member, after time.Duration, do func()) {
+	s.events = append(s.events, event{at: s.now + after, to: to, incarnation: to.incarnation, do: do})
+}
+
+// run advances the time by d and checks after each step that settings are in force in time.
+func (s *sim) run(d time.Duration) {
+	for end := s.now + d; s.now < end; {
+		s.now += step
+		due := s.events
+		s.events = nil
+		slices.SortStableFunc(due, func(a, b event) int { return cmp.Compare(a.at, b.at) })
+		for _, e := range due {
+			switch {
+			case e.at > s.now:
+				s.events = append(s.events, e)
+			case e.to.running && e.to.incarnation == e.incarnation:
+				e.do()
+			}
+		}
+		for _, m := range s.vms {
+			if m.running && (s.now-m.ticked >= tickInterval || !m.sync.Synced()) {
+				m.ticked = s.now
+				m.perform(m.sync.Tick(s.now))
+			}
+		}
+		s.check()
+	}
+}
+
+// check fails if a VM that has been healthy for longer than the bound holds older settings
+// than those of the platform, or does not know that they are fresh.
+func (s *sim) check() {
+	for _, m := range s.vms {
+		healthy := m.running && !m.refused && !m.silent
+		if !healthy {
+			m.healthySince = s.now
+			continue
+		}
+		since := max(s.changed, m.healthySince)
+		if m.held < s.revision {
+			s.slowest = max(s.slowest, s.now-since)
+		}
+		if m.held < s.revision && s.now-since > s.bound {
+			s.t.Fatalf("%v: %s holds revision %d of %d, %v after the change, %s", s.now, m.vm.Name, m.held, s.revision, s.now-since, m.sync.State())
+		}
+		if s.now-m.healthySince > s.bound && m.sync.Age(s.now) > s.bound {
+			s.t.Fatalf("%v: settings of %s are %v old, %s", s.now, m.vm.Name, m.sync.Age(s.now), m.sync.State())
+		}
+	}
+}
+
+// change raises the revision of the platform.
+func (s *sim) change() { s.revision, s.changed = s.revision+1, s.now }
+
+func (s *sim) reachable(a, b *member) bool { return a.partition == b.partition && b.running }
+
+func (s *sim) find(vm sparconfig.VM) *member {
+	for _, m := range s.vms {
+		if m.vm.Control == vm.Control {
+			return m
+		}
+	}
+	s.t.Fatalf("no VM %v", vm)
+	return nil
+}
+
+// readers returns the VMs that read the platform.
+func (s *sim) readers() []*member {
+	var list []*member
+	for _, m := range s.vms {
+		if m.running && m.sync.State() == "reading" {
+			list = append(list, m)
+		}
+	}
+	return list
+}
+
+func (m *member) perform(outs []sparsync.Output) {
+	s := m.sim
+	for _, out := range outs {
+		switch out := out.(type) {
+		case sparsync.Read:
+			m.read(out.After)
+		case sparsync.Peek:
+			m.readVMs()
+		case sparsync.Ask:
+			m.pull(out)
+		case sparsync.Enquire:
+			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Asked(out.Query, s.now) })
+		case sparsync.Notify:
+			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Heard(out.Notice, s.now) })
+		case sparsync.Unlist:
+			s.deregistered[out.Name]++
+		case sparsync.Confirm:
+			m.send(out.To, func(to *member) []sparsync.Output {
+				to.sync.Confirmed(m.vm, s.now)
+				return nil
+			})
+		}
+	}
+}
+
+func (m *member) send(vm sparconfig.VM, deliver func(to *member) []sparsync.Output) {
+	s := m.sim
+	s.sent[m.vm.Name]++
+	to := s.find(vm)
+	if !s.reachable(m, to) || to.unreachable || s.rng.Float64() < s.loss {
+		return
+	}
+	s.schedule(to, oneWay, func() { to.perform(deliver(to)) })
+}
+
+// readVMs reads the list of VMs from the platform.
+func (m *member) readVMs() {
+	s := m.sim
+	s.calls++
+	if m.silent || m.refused {
+		s.schedule(m, callTime, func() { m.perform(m.sync.PeekFailed(s.now)) })
+		return
+	}
+	s.schedule(m, callTime, func() { m.perform(m.sync.Peeked(s.vmList(), s.now)) })
+}
+
+// read reads the platform: fully if after is 0, otherwise the changes after that revision.
+func (m *member) read(after uint64) {
+	s := m.sim
+	s.calls++
+	began := s.now
+	switch {
+	case m.silent:
+		s.schedule(m, callTimeout, func() { m.perform(m.sync.ReadFailed(s.now)) })
+	case m.refused:
+		s.schedule(m, callTime, func() { m.perform(m.sync.ReadFailed(s.now)) })
+	default:
+		took, ok := s.readTime(after)
+		if !ok {
+			s.schedule(m, callTimeout, func() { m.perform(m.sync.ReadFailed(s.now)) })
+			return
+		}
+		s.schedule(m, took, func() {
+			s.read += changeSize
+			if after > 0 && after < s.revision {
+				s.calls++
+			}
+			if after > 0 && after < s.revision && s.withholding {
+				m.perform(m.sync.ReadBroken(s.now))
+				return
+			}
+			size := 0
+			if after == 0 {
+				size = s.size
+				s.read += size
+			}
+			m.adopt(s.revision)
+			m.perform(m.sync.ReadDone(began, m.heldSettings(), size, s.now))
+		})
+	}
+}
+
+// readTime returns how long a read takes. It reports false if one of its calls would take
+// longer than callTimeout.
+func (s *sim) readTime(after uint64) (took time.Duration, ok bool) {
+	if !s.slowLinks || after > 0 {
+		return callTime, true
+	}
+	s.linkFree = max(s.linkFree, s.now) + transferTime(platformRate, s.size)
+	took = max(s.linkFree-s.now, transferTime(linkRate, s.size)) + callTime
+	pages := (s.size + pageSize - 1) / pageSize
+	return took, took/time.Duration(pages) < callTimeout
+}
+
+// transferTime returns how long it takes to transfer bytes over a link.
+func transferTime(rate, bytes int) time.Duration {
+	return time.Duration(bytes) * time.Second / time.Duration(rate)
+}
+
+func (m *member) pull(ask sparsync.Ask) {
+	s := m.sim
+	from := s.find(ask.From)
+	if ask.After == 0 {
+		s.fullPulls++
+	}
+	if !s.reachable(m, from) {
+		s.schedule(m, callTimeout, func() { m.perform(m.sync.PullFailed(s.now)) })
+		return
+	}
+	began := s.now
+	s.schedule(from, oneWay, func() {
+		if !from.sync.Synced() {
+			return
+		}
+		referral, ok := from.sync.Serve(m.vm, ask.After)
+		if !ok {
+			s.schedule(m, oneWay, func() { m.perform(m.sync.PullBusy(from.vm, referral, s.now)) })
+			return
+		}
+		from.serve(m, ask, began)
+	})
+}
+
+// serve sends the settings of m to a peer.
+func (m *member) serve(to *member, ask sparsync.Ask, began time.Duration) {
+	s := m.sim
+	if ask.After == 0 {
+		m.serving++
+		s.busiest = max(s.busiest, m.serving)
+	}
+	took := time.Duration(0)
+	if s.slowLinks {
+		size := changeSize
+		if ask.After == 0 {
+			size = s.size / compression
+		}
+		m.linkFree = max(m.linkFree, s.now) + transferTime(linkRate, size)
+		took = m.linkFree - s.now
+	}
+	held, age, reader := m.held, m.sync.Age(s.now), m.sync.Reader()
+	timedOut := s.now+took-began > pullTimeout
+	s.schedule(m, min(took, pullTimeout), func() {
+		if ask.After == 0 {
+			m.serving--
+		}
+		m.sync.Served(to.vm, ask.After, held, !timedOut)
+	})
+	if timedOut {
+		s.schedule(to, pullTimeout, func() { to.perform(to.sync.PullFailed(s.now)) })
+		return
+	}
+	s.schedule(to, took+oneWay, func() {
+		to.adopt(held)
+		to.perform(to.sync.Pulled(m.vm, reader, began-age, true, s.now))
+	})
+}
+
+func (m *member) heldSettings() sparsync.Held { return sparsync.Held{Revision: m.held, Digest: m.held} }
+
+func (m *member) adopt(revision uint64) {
+	m.held = max(m.held, revision)
+	if m.readyAt == 0 {
+		m.readyAt = m.sim.now
+	}
+	m.sync.Holds(m.heldSettings())
+	if m.listVersion == 1+len(m.sim.deregistered) {
+		return // m has this list
+	}
+	m.listVersion = 1 + len(m.sim.deregistered)
+	m.sync.List(m.sim.vmList(), m.sim.now)
+}
+
+func (s *sim) vmList() []sparconfig.VM {
+	var vms []sparconfig.VM
+	for _, other := range s.vms {
+		if s.deregistered[other.vm.Name] == 0 {
+			vms = append(vms, other.vm)
+		}
+	}
+	return vms
+}
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -10,50 +10,51 @@
 )
 
 const (
-	// listenFor is how long a VM that starts listens for a seed before it asks the platform
-	// who else there is: there and back within a region, and a seed's turn.
-	listenFor = 15 * time.Millisecond
-	// startReaders is the number of VMs that read at once where no seed answers: as many
-	// as the platform's link serves at the speed of theirs. The others of a larger fleet hear
-	// from them, or twice as many read a turn later.
+	// seedTimeout is how long a starting VM waits for a seed to reply before it reads the list
+	// of VMs from the platform: a round trip within a region, and the seed's processing.
+	seedTimeout = 15 * time.Millisecond
+	// startReaders is the number of VMs that read at once if no seed replies: as many as the
+	// platform's link can serve at the speed of their own links. The other VMs of a larger
+	// fleet get settings from these, or twice as many read after each startStep.
 	startReaders = 32
-	// startTurn is a whole reading on a slow link, and its way to peers.
-	startTurn = 400 * time.Millisecond
-	// firstStart is how long a VM that is not listed yet waits for seeds: the time within
-	// which the VMs of a new site start.
-	firstStart = 600 * time.Millisecond
-	// startPatience is how long it leaves the platform to others at most, as long as they
-	// answer: a large fleet on slow links is ready by then.
-	startPatience = 5 * time.Second
-	// startSpread is the time over which VMs read the platform whose peers fell silent.
-	startSpread = 750 * time.Millisecond
-	// silentAfter is how long ago a peer must have answered to be waited for: some questions,
-	// of which one may be lost.
-	silentAfter = 3 * askEvery
-	// readPatience is how long a first reading is waited for before settings are taken from
-	// a peer as well: on a site where few start it is over by then.
-	readPatience = 150 * time.Millisecond
-	// maxWaiting is the number of peers that are told as soon as a VM that starts knows
-	// settings. Others ask again.
+	// startStep is the time of a full read on a slow link and of its spread to peers.
+	startStep = 400 * time.Millisecond
+	// newSiteWait is how long a VM that is not registered yet waits for seeds: the time
+	// within which the VMs of a new site start.
+	newSiteWait = 600 * time.Millisecond
+	// startTimeout is how long a starting VM leaves reading to peers at most while they reply:
+	// a large fleet on slow links is ready by then.
+	startTimeout = 5 * time.Second
+	// startJitter is the time over which the reads of VMs are spread whose peers stopped
+	// replying or which reached startTimeout.
+	startJitter = 750 * time.Millisecond
+	// silentAfter is the time without a reply after which a starting VM no longer waits for
+	// peers: a few queries, since one may be lost.
+	silentAfter = 3 * queryInterval
+	// firstReadTimeout is how long the first read may take before settings are also pulled
+	// from a peer. On a site where few VMs start, the read ends earlier.
+	firstReadTimeout = 150 * time.Millisecond
+	// maxWaiting is the number of peers that are notified as soon as a starting VM has
+	// settings. Other peers query again.
 	maxWaiting = 2 * fanOut
 )
 
-// start is what a VM knows while it has no settings. Seeds read the platform at once, the
-// others get settings from peers: a fleet that starts at once would share the platform's
-// link.
+// start is the state of a VM until it has settings. Seeds read the platform at once and the
+// other VMs get settings from peers, because the reads of a whole fleet at once would
+// compete for the platform's link.
 type start struct {
-	seed     bool          // others ask this VM
-	place    int           // among the seeds
-	among    int           // number of seeds, 0 for a VM that is none
-	began    time.Duration // of the first tick
-	answered time.Duration // when a peer said last that it is up
-	peek     peek
-	outdated bool            // a peer holds settings that are old
-	waiting  []sparconfig.VM // peers that asked in vain
+	seed      bool          // reads the platform at once
+	index     int           // of this VM among the seeds, -1 if it is none
+	seedCount int           // number of seeds, 0 if this VM is none
+	began     time.Duration // time of the first Tick
+	lastReply time.Duration // when a peer last showed that it is up
+	listing   listing
+	peerStale bool            // a peer announced settings that are too old
+	waiting   []sparconfig.VM // peers to notify once there are settings
 }
 
-// Seeds takes the control addresses to ask while no VM is known. A VM that is one of
-// them, or is told of none, reads the platform at its start.
+// Seeds sets the control addresses to query while no other VM is on record. A VM that is one
+// of them, or that has none configured, reads the platform at its start.
 func (s *Sync) Seeds(controls []string) {
 	s.seeds = nil
 	for _, control := range controls {
@@ -61,65 +62,67 @@
 			s.seeds = append(s.seeds, &peer{vm: sparconfig.VM{Control: control}})
 		}
 	}
-	s.start.place = slices.Index(controls, s.self.Control)
-	s.start.among = 0
-	if s.start.place >= 0 {
-		s.start.among = len(controls)
+	s.start.index = slices.Index(controls, s.self.Control)
+	s.start.seedCount = 0
+	if s.start.index >= 0 {
+		s.start.seedCount = len(controls)
 	}
-	s.start.seed = len(controls) == 0 || s.start.place >= 0
+	s.start.seed = len(controls) == 0 || s.start.index >= 0
 }
 
-// peek is the call by which a VM that hears of no other one learns who else there is.
-type peek struct {
-	done   bool
-	listed bool          // the platform lists this VM, which has restarted
-	at     time.Duration // when it was made, then when it ended
+// listing is the state of the call that reads the list of VMs from the platform.
+type listing struct {
+	done       bool
+	registered bool          // this VM is registered, so it has restarted
+	at         time.Duration // when the call began, then when it ended
 }
 
-// startDue reports whether a VM without settings is to read the platform now. Where peers
-// were up, it waits a time of its own, so that not all read at once.
+// startDue reports whether a VM without settings is to read the platform now. If peers have
+// replied, each VM adds a delay derived from its name, so that not all read at once.
 func (s *Sync) startDue(now time.Duration) bool {
 	switch {
 	case s.start.seed || s.failing:
 		return true
-	case s.pullsStill(now):
+	case s.pullPending(now):
 		return false
-	case s.start.outdated:
+	case s.start.peerStale:
 		return true
-	case s.start.answered == 0:
-		return s.turnDue(now)
-	case now-s.start.answered < silentAfter:
-		return now-s.start.began >= startPatience+s.spread(startSpread)
+	case s.start.lastReply == 0:
+		return s.staggeredStartDue(now)
+	case now-s.start.lastReply < silentAfter:
+		return now-s.start.began >= startTimeout+s.jitter(startJitter)
 	}
-	return now-s.start.answered >= silentAfter+s.spread(startSpread)
+	return now-s.start.lastReply >= silentAfter+s.jitter(startJitter)
 }
 
-// turnDue reports whether it is the turn of this VM to read, where no seed has answered.
-func (s *Sync) turnDue(now time.Duration) bool {
-	if !s.start.peek.done {
+// staggeredStartDue reports whether this VM is to read the platform now although no seed has
+// replied. VMs of higher precedence read first.
+func (s *Sync) staggeredStartDue(now time.Duration) bool {
+	if !s.start.listing.done {
 		return false
 	}
 	switch others := len(s.peers); {
-	case !s.start.peek.listed:
-		return now-s.start.began >= firstStart
+	case !s.start.listing.registered:
+		return now-s.start.began >= newSiteWait
 	case others < startReaders:
 		return true
 	}
-	return now-s.start.peek.at >= startTurn*time.Duration(bits.Len(uint(s.rank()/startReaders)))
+	return now-s.start.listing.at >= startStep*time.Duration(bits.Len(uint(s.rank()/startReaders)))
 }
 
-// peekDue reports whether a VM whose seeds do not answer is to learn who else there is.
-func (s *Sync) peekDue(now time.Duration) bool {
-	return !s.Synced() && !s.start.seed && s.start.answered == 0 && !s.pullsStill(now) &&
-		s.start.peek.at == 0 && now-s.start.began >= listenFor
+// listingDue reports whether a VM whose seeds do not reply is to read the list of VMs.
+func (s *Sync) listingDue(now time.Duration) bool {
+	return !s.Synced() && !s.start.seed && s.start.lastReply == 0 && !s.pullPending(now) &&
+		s.start.listing.at == 0 && now-s.start.began >= seedTimeout
 }
 
-// Peeked takes the VMs that the platform lists. One of those that read first is asked.
+// Peeked is called when a Peek has succeeded with the VMs registered at the platform. It
+// queries one of those that read first.
 func (s *Sync) Peeked(vms []sparconfig.VM, now time.Duration) []Output {
 	same := func(vm sparconfig.VM) bool { return vm.Name == s.self.Name }
-	s.start.peek = peek{done: true, listed: slices.ContainsFunc(vms, same), at: now}
+	s.start.listing = listing{done: true, registered: slices.ContainsFunc(vms, same), at: now}
 	if s.Synced() {
-		return nil // the settings name them too
+		return nil // the settings contain the same list
 	}
 	s.List(vms, now)
 	names := s.names(0)
@@ -127,34 +130,35 @@
 	if first == nil {
 		return nil
 	}
-	return []Output{s.enquire(first.vm, now)}
+	return []Output{s.query(first.vm, now)}
 }
 
-// PeekFailed takes the failure of that call. The platform is then tried as after a reading
-// that failed.
+// PeekFailed is called when a Peek has failed. The platform is then retried as after a
+// failed read.
 func (s *Sync) PeekFailed(now time.Duration) []Output {
-	s.start.peek.done = true
+	s.start.listing.done = true
 	return s.ReadFailed(now)
 }
 
-// spread returns a part of d that differs from VM to VM.
-func (s *Sync) spread(d time.Duration) time.Duration {
+// jitter returns a fraction of d that is derived from the name of this VM.
+func (s *Sync) jitter(d time.Duration) time.Duration {
 	const steps = 1 << 10
 	return d * time.Duration(sparrank.Name(s.self.Name)%steps) / steps
 }
 
-// askSeeds asks all seeds at once.
-func (s *Sync) askSeeds(now time.Duration) []Output {
+// querySeeds queries all seeds at once.
+func (s *Sync) querySeeds(now time.Duration) []Output {
 	var outs []Output
 	for _, seed := range s.seeds {
-		outs = append(outs, s.enquire(seed.vm, now))
+		outs = append(outs, s.query(seed.vm, now))
 	}
 	return outs
 }
 
-// wait keeps a peer that asked while this VM reads its first settings, and lets it know.
-func (s *Sync) wait(vm sparconfig.VM) []Output {
-	if !s.busy {
+// addWaiting adds a peer to those to notify once the first read of this VM ends, and
+// confirms that this VM is up.
+func (s *Sync) addWaiting(vm sparconfig.VM) []Output {
+	if !s.reading {
 		return nil
 	}
 	same := func(other sparconfig.VM) bool { return other.Name == vm.Name }
@@ -164,14 +168,14 @@
 	return []Output{Confirm{To: vm}}
 }
 
-// release tells those that have waited for this VM's first settings.
-func (s *Sync) release(now time.Duration) []Output {
+// notifyWaiting notifies the peers that wait for the first settings of this VM.
+func (s *Sync) notifyWaiting(now time.Duration) []Output {
 	if !s.Synced() {
 		return nil
 	}
 	var outs []Output
 	for _, vm := range s.start.waiting {
-		outs = append(outs, Notify{To: vm, Notice: s.notice(now)})
+		outs = append(outs, Notify{To: vm, Notice: s.notification(now)})
 	}
 	s.start.waiting = nil
 	return outs
--- a/internal/member/sparsync/sync.go
+++ b/internal/member/sparsync/sync.go
@@ -1,11 +1,13 @@
-// Package sparsync keeps the settings of all VMs in step with the platform at few
-// calls. One VM reads, the others hear of it.
+// Package sparsync keeps the settings of all VMs up to date with the platform at the
+// cost of few calls. One VM, the reader, reads the platform and notifies the others.
 //
-// Each VM knows as of when its settings are certain: a reading begun then, or a
-// peer's word with its age, told along a tree of VMs. A VM whose settings grow old
-// asks peers, then reads for itself; the order of names staggers who does so first.
-// A Sync does no I/O and reads no clock. Its time must go on while the VM is
-// suspended, so that settings age meanwhile:
+// Each VM tracks the time as of which its settings are fresh: the start of its own
+// read, or the age in a notification, which VMs forward along a tree. A VM whose
+// settings are old queries peers, then reads the platform itself. Such takeovers are
+// staggered by precedence, an order of the names of VMs by rendezvous hashing.
+//
+// A Sync does no I/O and reads no clock. The clock passed to it must keep running
+// while the VM is suspended, so that the settings age meanwhile:
 //
 //	s := sparsync.New(self, bound)
 //	for _, out := range s.Tick(now) {
@@ -30,22 +32,24 @@
 	readsMark = sparchart.Mark("reads")
 	tellsMark = sparchart.Mark("tells")
 
-	// Shares of the time within which settings must be in force everywhere. What is
-	// left after a takeover covers a call, its timeout and the way along the tree.
+	// Shares of the bound, the time within which settings must be in force everywhere:
+	// the age at which the reader reads again, at which a VM queries peers and at which
+	// it takes over reading, and the time over which takeovers are staggered. The rest
+	// covers a call, its timeout and the notifications along the tree.
 	readShare     = 0.25
-	askShare      = 0.4
+	queryShare    = 0.4
 	takeoverShare = 0.5
 	staggerShare  = 0.15
 
-	retryFirst = 150 * time.Millisecond
-	retryLast  = 2 * time.Second
-	askEvery   = 200 * time.Millisecond
-	// controlRate is what a VM may spend on control, in bytes a second. A reader of
-	// settings that need more reads what has changed.
+	minBackoff    = 150 * time.Millisecond
+	maxBackoff    = 2 * time.Second
+	queryInterval = 200 * time.Millisecond
+	// controlRate limits the control traffic of a VM, in bytes a second. Settings whose
+	// full reads would need more are read incrementally.
 	controlRate = 8000
-	// settle is how long entries may be missing after the platform's return: the
-	// upstreams' time to list themselves again, and one reading.
-	settle = 2500 * time.Millisecond
+	// settleTime is how long entries may be missing after the platform has recovered: the
+	// time upstreams need to register again, and one read.
+	settleTime = 2500 * time.Millisecond
 )
 
 var (
@@ -56,49 +60,49 @@
 )
 
 type (
-	// Held is what a registry holds, by revision and digest.
+	// Held identifies the content of a registry by revision and digest.
 	Held struct {
 		Revision uint64
 		Digest   uint64
 	}
 
-	// Sync is the state of one VM. Use New.
+	// Sync is the state of one VM. Use New to create it.
 	Sync struct {
 		self    sparconfig.VM
 		bound   time.Duration
 		state   sparchart.State
 		held    Held
-		certain time.Duration // the settings were complete then; 0 before the first
+		freshAt time.Duration // when the settings were last known to be complete, 0 before the first
 		peers   map[string]*peer
 		seeds   []*peer
-		orders  map[int][]string // of names, by slot
-
-		source     mark          // whose reading the settings follow
-		rounds     uint64        // readings of this VM
-		busy       bool          // a reading is under way
-		readBegan  time.Duration // when the reading under way began
-		readAt     time.Duration
-		size       int // bytes of the last whole reading, 0 before the first
-		retry      time.Duration
-		failing    bool
-		returned   time.Duration            // when the platform answered again after a failure
-		outages    map[string]time.Duration // when the platform failed to answer a VM
-		wanted     wanted
-		asking     Notice        // that the pull under way follows; its age counts from time 0
-		missed     Notice        // to be followed once no pull is under way; as asking
-		pullAt     time.Duration // not before
-		pulling    bool
-		pullUntil  time.Duration // the pull under way is waited for
-		start      start
-		serving    serving
-		enlistedAt time.Duration
-		askedAt    time.Duration
-		asked      int // number of peers asked, to ask them in turn
-		relayed    mark
+		orders  map[int][]string // cached results of names, by slot
+
+		source       readRound     // of the read that freshAt stems from
+		rounds       uint64        // reads of this VM
+		reading      bool          // a read is under way
+		readBegan    time.Duration // when the read under way began
+		nextRead     time.Duration // no read before
+		size         int           // bytes of the last full read, 0 before the first
+		backoff      time.Duration
+		failing      bool
+		recoveredAt  time.Duration            // when the platform answered again after a failure
+		outages      map[string]time.Duration // when the platform failed to answer a VM
+		target       target
+		current      Notice        // notification that the pull under way follows; its age is relative to time 0
+		deferred     Notice        // notification to follow once no pull is under way; its age as in current
+		nextPull     time.Duration // no pull before
+		pulling      bool
+		pullDeadline time.Duration // of the pull under way
+		start        start
+		serving      serving
+		registeredAt time.Duration // last check for VMs to register
+		queriedAt    time.Duration
+		queries      int       // rounds of queries sent, to rotate the peers
+		forwarded    readRound // latest round forwarded
 	}
 
-	// mark is one round of one reader.
-	mark struct {
+	// readRound is one read by one reader.
+	readRound struct {
 		reader string
 		round  uint64
 	}
@@ -108,98 +112,98 @@
 // bound of their acknowledgement.
 func New(self sparconfig.VM, bound time.Duration) *Sync {
 	return &Sync{
-		self: self, bound: bound, state: chart.Start(), retry: retryFirst, start: start{seed: true},
+		self: self, bound: bound, state: chart.Start(), backoff: minBackoff, start: start{seed: true},
 		peers: map[string]*peer{}, orders: map[int][]string{}, outages: map[string]time.Duration{},
 	}
 }
 
-// State returns what this VM does about settings: starting, following or reading.
+// State returns the state of this VM in the chart: starting, following or reading.
 func (s *Sync) State() string { return string(s.state) }
 
-// Reader returns the VM whose reading the settings here follow.
+// Reader returns the VM whose read the freshness of the settings stems from.
 func (s *Sync) Reader() string { return s.source.reader }
 
-// Synced reports whether the settings were complete at some time.
+// Synced reports whether this VM has had complete settings since its start.
 func (s *Sync) Synced() bool { return s.state != chart.Start() }
 
-// Age returns how long ago the settings here were complete for certain.
-func (s *Sync) Age(now time.Duration) time.Duration { return now - s.certain }
+// Age returns how long ago the settings were last known to be complete.
+func (s *Sync) Age(now time.Duration) time.Duration { return now - s.freshAt }
 
-// Fresh reports whether the settings are recent enough to refuse a caller by.
+// Fresh reports whether the settings are recent enough to refuse a client based on them.
 func (s *Sync) Fresh(now time.Duration) bool {
 	return s.Synced() && s.Age(now) < s.share(takeoverShare)
 }
 
-// Failing reports whether the platform has not answered this VM lately.
+// Failing reports whether the last call of this VM to the platform failed.
 func (s *Sync) Failing() bool { return s.failing }
 
-// Settling reports whether the platform has just come back, so that entries may be
-// missing from it whose writers live.
+// Settling reports whether the platform has recovered so recently that it may lack
+// entries of writers that still run.
 func (s *Sync) Settling(now time.Duration) bool {
-	return s.returned > 0 && now-s.returned < settle
+	return s.recoveredAt > 0 && now-s.recoveredAt < settleTime
 }
 
-// Holds takes what the registry holds now.
+// Holds sets what the registry holds now.
 func (s *Sync) Holds(held Held) {
 	s.held = held
-	if s.wanted.reader != "" && held.Digest == s.wanted.digest {
-		s.confirm(s.wanted.certain, s.wanted.mark)
-		s.wanted = wanted{}
+	if s.target.reader != "" && held.Digest == s.target.digest {
+		s.markFresh(s.target.freshAt, s.target.readRound)
+		s.target = target{}
 	}
 }
 
-// Heard takes a notice of a peer.
+// Heard is called for a notification received from a peer.
 func (s *Sync) Heard(n Notice, now time.Duration) []Output {
-	s.alive(n.From, now)
-	s.start.answered = now
-	s.start.outdated = s.start.outdated || n.Age >= s.share(takeoverShare)
-	outs := append([]Output{Confirm{To: n.From}}, s.outrank(n, now)...)
-	s.yield(n)
+	s.markAlive(n.From, now)
+	s.start.lastReply = now
+	s.start.peerStale = s.start.peerStale || n.Age >= s.share(takeoverShare)
+	outs := append([]Output{Confirm{To: n.From}}, s.notifyOutranked(n, now)...)
+	s.yieldTo(n)
 	switch {
 	case s.Synced() && n.Digest == s.held.Digest:
-		s.confirm(now-n.Age, mark{n.Reader, n.Round})
+		s.markFresh(now-n.Age, readRound{n.Reader, n.Round})
 	case !s.Synced() || n.Revision >= s.held.Revision:
-		return append(outs, s.want(n, now)...)
+		return append(outs, s.pull(n, now)...)
 	}
-	return append(outs, s.tell(now)...)
+	return append(outs, s.forward(now)...)
 }
 
-// Asked takes the question of a peer. One that knows no settings yet but is asked
-// learns of a peer to ask.
+// Asked is called for a query received from a peer. A VM that has no settings yet queries
+// the peer in turn if that one has settings.
 func (s *Sync) Asked(q Query, now time.Duration) []Output {
-	s.alive(q.From, now)
-	s.learn(q.Outages, now)
+	s.markAlive(q.From, now)
+	s.mergeOutages(q.Outages, now)
 	switch {
 	case !s.Synced() && q.Synced:
-		return []Output{s.enquire(q.From, now)}
+		return []Output{s.query(q.From, now)}
 	case !s.Synced():
-		return s.wait(q.From)
+		return s.addWaiting(q.From)
 	case !q.Synced:
 		return s.refer(q.From, now)
 	case s.Age(now) < q.Age:
-		return []Output{Notify{To: q.From, Notice: s.notice(now)}}
+		return []Output{Notify{To: q.From, Notice: s.notification(now)}}
 	}
 	return nil
 }
 
-func (s *Sync) enquire(to sparconfig.VM, now time.Duration) Output {
-	return Enquire{To: to, Query: Query{From: s.self, Synced: s.Synced(), Age: s.Age(now), Outages: s.knownOutages(now)}}
+func (s *Sync) query(to sparconfig.VM, now time.Duration) Output {
+	return Enquire{To: to, Query: Query{From: s.self, Synced: s.Synced(), Age: s.Age(now), Outages: s.recentOutages(now)}}
 }
 
-// Confirmed takes the word of a peer that a notice arrived, or that it is up but has no
-// settings to hand out yet.
+// Confirmed is called for a Confirm received from a peer: a notification has arrived there,
+// or the peer is up but can't supply settings yet.
 func (s *Sync) Confirmed(vm sparconfig.VM, now time.Duration) {
-	s.alive(vm, now)
-	s.start.answered = now
+	s.markAlive(vm, now)
+	s.start.lastReply = now
 }
 
-// confirm notes that the settings here were complete at a time.
-func (s *Sync) confirm(at time.Duration, by mark) {
-	if at <= s.certain && s.Synced() {
+// markFresh records that the settings were complete at a time, as known from a round.
+func (s *Sync) markFresh(at time.Duration, round readRound) {
+	if at <= s.freshAt && s.Synced() {
 		return
 	}
-	s.certain = at
-	s.source = by
+	s.freshAt = at
+	s.source = round
 	s.state = chart.Next(s.state, "synced")
 }
 
--- a/internal/member/sparsync/sync_test.go
+++ b/internal/member/sparsync/sync_test.go
@@ -9,7 +9,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// ExampleSync starts a VM that knows nothing: it reads the platform at once.
+// ExampleSync starts a VM without seeds, which reads the platform at once.
 func ExampleSync() {
 	s := sparsync.New(sparconfig.VM{Name: "vm-1"}, 3*time.Second)
 	for _, out := range s.Tick(time.Millisecond) {
@@ -24,18 +24,18 @@
 	// following true false
 }
 
-// changing lets time pass with a change every now and then.
-func (l *lab) changing(d time.Duration) {
-	for end := l.now + d; l.now < end; {
-		l.change()
-		l.run(700 * time.Millisecond)
+// churn runs the simulation for d with a change every 700 ms.
+func (s *sim) churn(d time.Duration) {
+	for end := s.now + d; s.now < end; {
+		s.change()
+		s.run(700 * time.Millisecond)
 	}
 }
 
-func (l *lab) reader() *member {
-	readers := l.readers()
+func (s *sim) reader() *member {
+	readers := s.readers()
 	if len(readers) == 0 {
-		l.t.Fatal("nobody reads the platform")
+		s.t.Fatal("nobody reads the platform")
 	}
 	return readers[0]
 }
@@ -43,19 +43,19 @@
 func TestOneReads(t *testing.T) {
 	for _, n := range []int{2, 8, 90} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			l := newLab(t, n)
-			l.changing(10 * time.Second)
-			l.calls = 0
-			clear(l.sent)
-			l.changing(60 * time.Second)
-			if got := len(l.readers()); got != 1 {
+			s := newSim(t, n)
+			s.churn(10 * time.Second)
+			s.calls = 0
+			clear(s.sent)
+			s.churn(60 * time.Second)
+			if got := len(s.readers()); got != 1 {
 				t.Errorf("%d VMs read the platform, want 1", got)
 			}
-			// One reading for each share of the bound, and as much again for takeovers.
-			if most := 2 * int(60*time.Second/(bound/4)); l.calls > most {
-				t.Errorf("%d calls in 60 s, want at most %d", l.calls, most)
+			// One read in each quarter of the bound, and as many again for takeovers.
+			if most := 2 * int(60*time.Second/(bound/4)); s.calls > most {
+				t.Errorf("%d calls in 60 s, want at most %d", s.calls, most)
 			}
-			for name, sent := range l.sent {
+			for name, sent := range s.sent {
 				if bytes := sent * datagram / 60; bytes > 8000 {
 					t.Errorf("%s sends %d bytes a second, want at most 8,000", name, bytes)
 				}
@@ -67,32 +67,32 @@
 func TestReaderFails(t *testing.T) {
 	faults := []struct {
 		name string
-		do   func(l *lab, reader *member)
+		do   func(s *sim, reader *member)
 	}{
-		{"killed", func(_ *lab, r *member) { r.kill() }},
-		{"cut from the platform", func(_ *lab, r *member) { r.silent = true }},
-		{"refused by the platform", func(_ *lab, r *member) { r.refused = true }},
-		{"deaf", func(_ *lab, r *member) { r.deaf = true }},
-		{"cut from all", func(_ *lab, r *member) { r.side, r.silent = 1, true }},
-		{"cut from the other VMs", func(_ *lab, r *member) { r.side = 1 }},
+		{"killed", func(_ *sim, r *member) { r.kill() }},
+		{"platform does not respond", func(_ *sim, r *member) { r.silent = true }},
+		{"platform refuses calls", func(_ *sim, r *member) { r.refused = true }},
+		{"receives no datagrams", func(_ *sim, r *member) { r.unreachable = true }},
+		{"cut off from all", func(_ *sim, r *member) { r.partition, r.silent = 1, true }},
+		{"cut off from the other VMs", func(_ *sim, r *member) { r.partition = 1 }},
 	}
 	for _, f := range faults {
 		for _, one := range []struct {
 			n, size int
 		}{{8, smallSettings}, {90, smallSettings}, {90, largeSettings}} {
 			t.Run(fmt.Sprintf("%s of %d, %d bytes", f.name, one.n, one.size), func(t *testing.T) {
-				l := newLab(t, one.n)
-				l.size = one.size
-				l.changing(5 * time.Second)
+				s := newSim(t, one.n)
+				s.size = one.size
+				s.churn(5 * time.Second)
 				for range 4 {
-					r := l.reader()
-					f.do(l, r)
-					l.changing(6 * time.Second)
-					r.silent, r.refused, r.deaf, r.side = false, false, false, 0
+					r := s.reader()
+					f.do(s, r)
+					s.churn(6 * time.Second)
+					r.silent, r.refused, r.unreachable, r.partition = false, false, false, 0
 					if !r.running {
 						r.start()
 					}
-					l.changing(4 * time.Second)
+					s.churn(4 * time.Second)
 				}
 			})
 		}
@@ -100,97 +100,97 @@
 }
 
 func TestReaderSuspended(t *testing.T) {
-	l := newLab(t, 8)
-	l.changing(5 * time.Second)
-	r := l.reader()
+	s := newSim(t, 8)
+	s.churn(5 * time.Second)
+	r := s.reader()
 	r.running = false
-	l.changing(8 * time.Second)
-	r.running, r.calmSince = true, l.now
-	if r.sync.Fresh(l.now) {
-		t.Error("a VM that was suspended takes its settings to be fresh")
+	s.churn(8 * time.Second)
+	r.running, r.healthySince = true, s.now
+	if r.sync.Fresh(s.now) {
+		t.Error("a VM that was suspended considers its settings fresh")
 	}
-	l.changing(8 * time.Second)
-	if got := len(l.readers()); got != 1 {
+	s.churn(8 * time.Second)
+	if got := len(s.readers()); got != 1 {
 		t.Errorf("%d VMs read the platform, want 1", got)
 	}
 }
 
 func TestHalfKilled(t *testing.T) {
-	l := newLab(t, 90)
-	l.changing(5 * time.Second)
-	for i, m := range l.vms {
+	s := newSim(t, 90)
+	s.churn(5 * time.Second)
+	for i, m := range s.vms {
 		if i%2 == 0 {
 			m.kill()
 		}
 	}
-	l.changing(10 * time.Second)
-	for _, m := range l.vms {
+	s.churn(10 * time.Second)
+	for _, m := range s.vms {
 		if !m.running {
 			m.start()
 		}
 	}
-	l.changing(10 * time.Second)
+	s.churn(10 * time.Second)
 }
 
-func TestDomainCut(t *testing.T) {
-	for _, name := range []string{"platform on the other side", "platform reached"} {
+func TestDomainPartitioned(t *testing.T) {
+	for _, name := range []string{"platform out of reach", "platform reached"} {
 		t.Run(name, func(t *testing.T) {
-			l := newLab(t, 40)
-			l.changing(5 * time.Second)
-			for i, m := range l.vms {
+			s := newSim(t, 40)
+			s.churn(5 * time.Second)
+			for i, m := range s.vms {
 				if i%4 == 0 {
-					m.side, m.silent = 1, name == "platform on the other side"
+					m.partition, m.silent = 1, name == "platform out of reach"
 				}
 			}
-			l.changing(8 * time.Second)
-			for _, m := range l.vms {
-				m.side, m.silent = 0, false
+			s.churn(8 * time.Second)
+			for _, m := range s.vms {
+				m.partition, m.silent = 0, false
 			}
-			l.changing(8 * time.Second)
+			s.churn(8 * time.Second)
 		})
 	}
 }
 
-// TestStartBehindACut starts a VM whose platform and other peers are out of reach,
-// beside one that holds settings and does not know that it has come back.
-func TestStartBehindACut(t *testing.T) {
-	l := newLab(t, 8)
-	l.changing(5 * time.Second)
-	keeper, late := l.vms[2], l.vms[5]
-	late.kill()
-	for _, m := range []*member{keeper, late} {
-		m.side, m.silent = 1, true
-	}
-	l.run(time.Second)
-	late.start()
-	l.run(2500 * time.Millisecond)
-	if !late.sync.Synced() || late.held != keeper.held {
-		t.Errorf("the VM is %s with revision %d, want those of its neighbour, %d", late.sync.State(), late.held, keeper.held)
+// TestStartInPartition starts a VM that reaches neither the platform nor any peer but one.
+// That peer holds settings and does not know that the VM has restarted.
+func TestStartInPartition(t *testing.T) {
+	s := newSim(t, 8)
+	s.churn(5 * time.Second)
+	holder, restarted := s.vms[2], s.vms[5]
+	restarted.kill()
+	for _, m := range []*member{holder, restarted} {
+		m.partition, m.silent = 1, true
+	}
+	s.run(time.Second)
+	restarted.start()
+	s.run(2500 * time.Millisecond)
+	if !restarted.sync.Synced() || restarted.held != holder.held {
+		t.Errorf("the VM is %s with revision %d, want that of its peer, %d", restarted.sync.State(), restarted.held, holder.held)
 	}
 }
 
-func TestPlatformAway(t *testing.T) {
-	l := newLab(t, 90)
-	l.changing(5 * time.Second)
-	l.calls = 0
-	for _, m := range l.vms {
+func TestPlatformDown(t *testing.T) {
+	s := newSim(t, 90)
+	s.churn(5 * time.Second)
+	s.calls = 0
+	for _, m := range s.vms {
 		m.silent = true
 	}
-	l.run(10 * time.Second)
-	// Each VM tries once per retry at its longest, and a few times before that.
-	if most := 90 * 10; l.calls > most {
-		t.Errorf("%d calls while the platform is away, want at most %d", l.calls, most)
+	s.run(10 * time.Second)
+	// Each VM retries at most once per maximum backoff, and a few times before that.
+	if most := 90 * 10; s.calls > most {
+		t.Errorf("%d calls while the platform is down, want at most %d", s.calls, most)
 	}
-	for _, m := range l.vms {
+	for _, m := range s.vms {
 		m.silent = false
 	}
-	l.changing(10 * time.Second)
+	s.churn(10 * time.Second)
 }
 
-func TestLostNotices(t *testing.T) {
-	l := newLab(t, 40)
-	l.lost = 0.1
-	l.changing(40 * time.Second)
+func TestLostNotifications(t *testing.T) {
+	s := newSim(t, 40)
+	s.loss = 0.1
+	s.churn(40 * time.Second)
 }
 
 func TestSettling(t *testing.T) {
@@ -202,13 +202,13 @@
 		want  bool
 	}{{100 * time.Millisecond, true}, {2 * time.Second, true}, {3 * time.Second, false}} {
 		if got := s.Settling(2*time.Second + c.after); got != c.want {
-			t.Errorf("%v after the platform's return: settling is %v", c.after, got)
+			t.Errorf("%v after the platform's recovery: settling is %v", c.after, got)
 		}
 	}
 }
 
-// TestReplacedVMsAreForgotten lists other VMs each minute, and checks that those which
-// left hold up no takeover: the first in the order reads once settings are old.
+// TestReplacedVMsAreForgotten registers another VM each minute and checks that those which
+// are gone do not delay a takeover: a VM of highest precedence reads once settings are old.
 func TestReplacedVMsAreForgotten(t *testing.T) {
 	s := sparsync.New(sparconfig.VM{Name: "vm-0"}, bound)
 	now := time.Second
@@ -223,5 +223,5 @@
 			return
 		}
 	}
-	t.Error("a VM that is alone waits for VMs that left")
+	t.Error("a single VM waits for VMs that are gone")
 }
--- a/internal/member/sparsync/tree.go
+++ b/internal/member/sparsync/tree.go
@@ -8,43 +8,45 @@
 )
 
 const (
-	// fanOut is the number of VMs that one VM tells. 1,400 VMs are six steps away
-	// at most, and a notice of about 120 bytes keeps each far below 1 KB/s.
+	// fanOut is the number of children of a VM in the notification tree. 1,400 VMs are at
+	// most six hops away, and with notifications of about 120 bytes each VM sends far
+	// less than 1 KB/s.
 	fanOut = 4
-	// deadAfter is the number of notices without an answer after which those below
-	// a VM in the tree are told in its place.
-	deadAfter = 3
-	// unlistAfter is how long a VM must have left notices unanswered before its entry is
-	// taken out: longer than a restart, a suspension, and a region's usual cut.
-	unlistAfter = 10 * time.Minute
+	// maxUnanswered is the number of unanswered notifications after which the children of
+	// a VM are notified directly as well.
+	maxUnanswered = 3
+	// deregisterAfter is how long a VM must leave notifications unanswered before its
+	// entry is removed: longer than a restart, a suspension or a usual regional partition.
+	deregisterAfter = 10 * time.Minute
 )
 
-// tell passes the latest round of the reader on to the VMs below this one, once.
-func (s *Sync) tell(now time.Duration) []Output {
-	if s.source.round == 0 || s.source == s.relayed || s.wanted.reader != "" {
+// forward notifies the VMs below this one in the tree of the latest round of the reader,
+// once per round.
+func (s *Sync) forward(now time.Duration) []Output {
+	if s.source.round == 0 || s.source == s.forwarded || s.target.reader != "" {
 		return nil
 	}
-	s.relayed = s.source
-	notice := s.notice(now)
+	s.forwarded = s.source
+	notification := s.notification(now)
 	var outs []Output
 	order := s.order()
-	for _, name := range s.below(order, slices.Index(order, s.self.Name)) {
+	for _, name := range s.recipients(order, slices.Index(order, s.self.Name)) {
 		p := s.peers[name]
-		p.open++
-		if p.open == 1 {
-			p.unheard = now
+		p.unanswered++
+		if p.unanswered == 1 {
+			p.unansweredSince = now
 		}
-		outs = append(outs, Notify{To: p.vm, Notice: notice})
-		if p.open >= deadAfter && now-p.unheard >= unlistAfter && s.connected(now) {
-			p.unheard = now // again after as long, should it fail
+		outs = append(outs, Notify{To: p.vm, Notice: notification})
+		if p.unanswered >= maxUnanswered && now-p.unansweredSince >= deregisterAfter && s.connected(now) {
+			p.unansweredSince = now // try again after deregisterAfter if the removal fails
 			outs = append(outs, Unlist{Name: name})
 		}
 	}
 	return outs
 }
 
-// connected reports whether any other VM was heard lately. A VM that hears nobody is cut
-// off itself, and its silence says nothing about the others.
+// connected reports whether any other VM is reachable. A VM that receives nothing is cut
+// off itself, so unanswered notifications say nothing about the other VMs.
 func (s *Sync) connected(now time.Duration) bool {
 	for _, p := range s.peers {
 		if p.alive(now) {
@@ -54,30 +56,30 @@
 	return false
 }
 
-// notice says how recent the settings here are.
-func (s *Sync) notice(now time.Duration) Notice {
+// notification returns the revision and age of the settings of this VM.
+func (s *Sync) notification(now time.Duration) Notice {
 	return Notice{
 		From: s.self, Reader: s.source.reader, Round: s.source.round,
 		Revision: s.held.Revision, Digest: s.held.Digest, Age: s.Age(now),
 	}
 }
 
-// order returns the VMs in the order of the tree, its root first. It follows from the
-// reader and the list of VMs, so VMs with the same list agree on it.
+// order returns the VMs in the order of the tree, the reader first as its root. It depends
+// only on the reader and the list of VMs, so VMs with the same list agree on it.
 func (s *Sync) order() []string {
 	reader := s.source.reader
 	order := []string{reader}
 	for _, name := range s.names(int(sparrank.Name(reader) >> 33)) {
-		if name != reader && (name == s.self.Name || s.peers[name].known) {
+		if name != reader && (name == s.self.Name || s.peers[name].registered) {
 			order = append(order, name)
 		}
 	}
 	return order
 }
 
-// below returns those that the VM at a position tells: its children, and the
-// children of those that do not answer.
-func (s *Sync) below(order []string, at int) []string {
+// recipients returns the VMs that the VM at a position notifies: its children, and the
+// recipients of each child that does not answer.
+func (s *Sync) recipients(order []string, at int) []string {
 	var names []string
 	for child := at*fanOut + 1; child <= at*fanOut+fanOut && child < len(order); child++ {
 		p := s.peers[order[child]]
@@ -85,8 +87,8 @@
 			continue
 		}
 		names = append(names, order[child])
-		if p.open >= deadAfter {
-			names = append(names, s.below(order, child)...)
+		if p.unanswered >= maxUnanswered {
+			names = append(names, s.recipients(order, child)...)
 		}
 	}
 	return names
