--- a/internal/member/sparleave/leave.go
+++ b/internal/member/sparleave/leave.go
@@ -1,21 +1,22 @@
-// Package sparleave decides how a VM that was told to stop leaves its fabric: when it
-// refuses the fabric's probes, and when its process may end.
+// Package sparleave implements the graceful shutdown of a VM: when it refuses the probes
+// of the fabric, and when its process may end.
 //
-// The fabric leaves a VM that has refused two probes. Where fewer than half of a failure
-// domain's VMs take packets it sends to all of them again, those that have stopped
-// included; so VMs of one domain that are told to stop together take turns. A Leave is
-// the state of one VM; its zero value is a VM that stays:
+// The fabric takes a VM out of rotation once it has refused two probes. If fewer than half
+// of the VMs of a failure domain are in rotation, the fabric sends packets to all of them
+// again, stopped ones included. So VMs of one domain that are told to stop at the same time
+// leave one after another. A Leave is the state of one VM; its zero value is a VM that was
+// not told to stop:
 //
 //	var l sparleave.Leave
 //	l.Begin(self, now, grace)                // SIGTERM
 //	for _, out := range l.Tick(siblings, now) {
 //		// send out, a Departure, to the other VMs of the failure domain
 //	}
-//	ready := l.Ready()                       // the answer to probes
-//	l.Refused(now)                           // at each probe that was refused
-//	l.Packet(now)                            // at each packet of a caller
+//	ready := l.Ready()                       // the response to probes
+//	l.Refused(now)                           // for each probe that was refused
+//	l.Packet(now)                            // for each packet of a client
 //	if l.Done(now) {
-//		// the fabric has left, the process may end
+//		// out of rotation, the process may end
 //	}
 //
 // A Leave does no I/O and reads no clock.
@@ -24,69 +25,71 @@
 import "time"
 
 const (
-	// refusals is the number of refused probes after which the fabric leaves.
-	refusals = 2
-	// probeEvery is how often the fabric probes.
-	probeEvery = 500 * time.Millisecond
-	// probeSpan is the least time between the first and the last of the refused probes,
-	// since others than the fabric may ask in between.
-	probeSpan = probeEvery * 4 / 5
-	// quiet is how long no packet must have come after that: the answer's way to the
-	// fabric, and a packet's way from there across regions.
-	quiet = 150 * time.Millisecond
-	// refuseFor is how long the fabric is given to leave: four probes, of which two must
-	// fail, less what two answers take.
-	refuseFor = 4*probeEvery - 200*time.Millisecond
-
-	// announceEvery is how often VMs that leave tell each other.
-	announceEvery = 100 * time.Millisecond
-	// listenFor is how long a VM hears others before it goes: two of their announcements.
-	listenFor = 2 * announceEvery
-	// restart is how long a process takes to end, start and be ready.
-	restart = 600 * time.Millisecond
-	// returnAfter is how long a VM that has gone is waited for: its restart, and the
-	// fabric's next probe.
-	returnAfter = restart + 2*probeEvery
-	// maxWait is how long others are waited for at most: one turn, which is two probes,
-	// the quiet after them and a restart. Whoever told a VM to stop expects it to be out of
-	// the fabric soon.
-	maxWait = refusals*probeEvery + quiet + restart + listenFor
-	// endSlack is what is left of the grace when the process ends.
-	endSlack = 500 * time.Millisecond
+	// unhealthyThreshold is the number of refused probes after which the fabric takes a
+	// VM out of rotation.
+	unhealthyThreshold = 2
+	// probeInterval is the time between two probes of the fabric.
+	probeInterval = 500 * time.Millisecond
+	// minProbeSpan is the least time between the first and the last of these probes, since
+	// others than the fabric may probe in between.
+	minProbeSpan = probeInterval * 4 / 5
+	// idleTime is how long no packet must have arrived after the last of these probes: the
+	// time of the response to reach the fabric and of a packet to return across regions.
+	idleTime = 150 * time.Millisecond
+	// refuseTimeout is the longest time to wait for the fabric to take this VM out of
+	// rotation: four probes, of which two must fail, less the time of two responses.
+	refuseTimeout = 4*probeInterval - 200*time.Millisecond
+
+	// announceInterval is the time between two announcements of a VM that leaves.
+	announceInterval = 100 * time.Millisecond
+	// listenTime is how long a VM listens for others before it refuses probes: two of
+	// their announcements.
+	listenTime = 2 * announceInterval
+	// restartTime is how long a process takes to end, start and be ready.
+	restartTime = 600 * time.Millisecond
+	// returnTimeout is how long a VM that has stopped counts as out of rotation: its
+	// restart, and the fabric's next probes.
+	returnTimeout = restartTime + 2*probeInterval
+	// maxWait is how long a VM waits for others at most: the shutdown of one VM, which is
+	// two probes, idleTime and a restart, and listenTime. It is short because a VM that is
+	// told to stop is expected to be out of rotation soon.
+	maxWait = unhealthyThreshold*probeInterval + idleTime + restartTime + listenTime
+	// exitMargin is the part of the grace period left when the process ends.
+	exitMargin = 500 * time.Millisecond
 )
 
 type (
-	// Departure tells that a VM was told to stop. Refusing says that it has told the
-	// fabric so; before, it waits for others.
+	// Departure announces that a VM was told to stop. Refusing is set once it refuses
+	// probes; until then it waits for others.
 	Departure struct {
 		From     string
 		Refusing bool
 	}
 
-	// Leave is how far a VM is with leaving.
+	// Leave is the state of the graceful shutdown of one VM.
 	Leave struct {
-		self      string
-		begun     bool
-		began     time.Duration
-		grace     time.Duration
-		refusing  bool
-		refusedAt time.Duration // when it began to refuse
-		refused   int
-		first     time.Duration // refused probe
-		leaves    time.Duration // the probe after which the fabric leaves, or 0
-		packetAt  time.Duration
-		told      time.Duration // last announcement
-		others    map[string]heard
+		self          string
+		begun         bool
+		began         time.Duration
+		grace         time.Duration
+		refusing      bool
+		refusedAt     time.Duration // when it began to refuse probes
+		refusedProbes int
+		firstRefused  time.Duration // first refused probe
+		unhealthyAt   time.Duration // probe that reached unhealthyThreshold, or 0
+		lastPacket    time.Duration
+		announcedAt   time.Duration // last announcement
+		peers         map[string]announcement
 	}
 
-	// heard is what another VM has announced last.
-	heard struct {
+	// announcement is the last Departure received from another VM.
+	announcement struct {
 		at       time.Duration
 		refusing bool
 	}
 )
 
-// Begin starts to leave as the VM called self. The process is killed grace from now.
+// Begin starts the shutdown of the VM self. The process is killed after grace.
 func (l *Leave) Begin(self string, now, grace time.Duration) {
 	l.self, l.begun, l.began, l.grace = self, true, now, grace
 }
@@ -94,94 +97,96 @@
 // Begun reports whether the VM was told to stop.
 func (l *Leave) Begun() bool { return l.begun }
 
-// Ready reports whether probes are answered as those of a VM that stays.
+// Ready reports whether probes are to be accepted.
 func (l *Leave) Ready() bool { return !l.refusing }
 
-// Waited returns how long the VM has waited for others, until it began to refuse.
+// Waited returns how long the VM waited for others before it began to refuse probes.
 func (l *Leave) Waited() time.Duration { return l.refusedAt - l.began }
 
-// Heard takes the announcement of another VM of the failure domain.
+// Heard is called for a Departure received from another VM of the failure domain.
 func (l *Leave) Heard(d Departure, now time.Duration) {
-	if l.others == nil {
-		l.others = map[string]heard{}
+	if l.peers == nil {
+		l.peers = map[string]announcement{}
 	}
-	l.others[d.From] = heard{at: now, refusing: d.Refusing}
+	l.peers[d.From] = announcement{at: now, refusing: d.Refusing}
 }
 
-// Tick does what time makes due. siblings is the number of VMs of the failure domain,
-// this one included. What it returns goes to each of the others.
+// Tick advances the state to now. siblings is the number of VMs of the failure domain, this
+// one included. The departures returned are to be sent to each of the others.
 func (l *Leave) Tick(siblings int, now time.Duration) []Departure {
 	if !l.begun {
 		return nil
 	}
-	if !l.refusing && l.mayGo(siblings, now) {
+	if !l.refusing && l.mayRefuse(siblings, now) {
 		l.refusing, l.refusedAt = true, now
 	}
-	if l.told > 0 && now-l.told < announceEvery {
+	if l.announcedAt > 0 && now-l.announcedAt < announceInterval {
 		return nil
 	}
-	l.told = now
+	l.announcedAt = now
 	return []Departure{{From: l.self, Refusing: l.refusing}}
 }
 
-// mayGo reports whether the fabric may be told to leave this VM.
-func (l *Leave) mayGo(siblings int, now time.Duration) bool {
-	ahead := 0
-	for name, h := range l.others {
-		if h.ahead(now, name < l.self) {
-			ahead++
+// mayRefuse reports whether this VM may begin to refuse probes: enough of its failure
+// domain stays in rotation, or it has waited long enough.
+func (l *Leave) mayRefuse(siblings int, now time.Duration) bool {
+	preceding := 0
+	for name, a := range l.peers {
+		if a.precedes(now, name < l.self) {
+			preceding++
 		}
 	}
 	waited := now - l.began
-	if waited >= l.patience() || siblings < 2 {
+	if waited >= l.waitTimeout() || siblings < 2 {
 		return true
 	}
-	left := siblings - ahead - 1
-	return waited >= listenFor && (ahead == 0 || 2*left >= siblings)
+	remaining := siblings - preceding - 1
+	return waited >= listenTime && (preceding == 0 || 2*remaining >= siblings)
 }
 
-// ahead reports whether another VM goes first: it has begun to go and is not back yet, or
-// waits as well and comes first by name.
-func (h heard) ahead(now time.Duration, byName bool) bool {
-	if h.refusing {
-		return now-h.at < returnAfter
+// precedes reports whether the other VM leaves before this one: it already refuses probes
+// and is not back yet, or it waits too and byName says that its name sorts first.
+func (a announcement) precedes(now time.Duration, byName bool) bool {
+	if a.refusing {
+		return now-a.at < returnTimeout
 	}
-	return byName && now-h.at < listenFor
+	return byName && now-a.at < listenTime
 }
 
-// patience is how long others are waited for: a turn, or the grace less what leaving takes.
-func (l *Leave) patience() time.Duration {
-	return max(min(maxWait, l.grace-refuseFor-endSlack), 0)
+// waitTimeout is how long to wait for others: maxWait, or less if the grace period would not
+// leave enough time to get out of rotation.
+func (l *Leave) waitTimeout() time.Duration {
+	return max(min(maxWait, l.grace-refuseTimeout-exitMargin), 0)
 }
 
-// Refused notes that a probe was told to send nothing here. Probes before that found a
-// VM that was starting, and do not count.
+// Refused is called when a probe was refused. It ignores those refused before the shutdown,
+// while the VM was starting.
 func (l *Leave) Refused(now time.Duration) {
 	if !l.refusing {
 		return
 	}
-	if l.refused == 0 {
-		l.first = now
+	if l.refusedProbes == 0 {
+		l.firstRefused = now
 	}
-	l.refused++
-	if l.leaves == 0 && l.refused >= refusals && now-l.first >= probeSpan {
-		l.leaves = now
+	l.refusedProbes++
+	if l.unhealthyAt == 0 && l.refusedProbes >= unhealthyThreshold && now-l.firstRefused >= minProbeSpan {
+		l.unhealthyAt = now
 	}
 }
 
-// Packet notes that the fabric has sent a packet.
-func (l *Leave) Packet(now time.Duration) { l.packetAt = now }
+// Packet is called when a packet from the fabric arrives.
+func (l *Leave) Packet(now time.Duration) { l.lastPacket = now }
 
 // Done reports whether the process may end.
 func (l *Leave) Done(now time.Duration) bool {
 	if !l.refusing {
 		return false
 	}
-	bound := min(refuseFor, l.grace/2)
-	return l.left(now) || now-l.refusedAt >= bound
+	bound := min(refuseTimeout, l.grace/2)
+	return l.outOfRotation(now) || now-l.refusedAt >= bound
 }
 
-// left reports whether the fabric has stopped sending to this VM.
-func (l *Leave) left(now time.Duration) bool {
-	return l.leaves > 0 && now-max(l.leaves, l.packetAt) >= quiet
+// outOfRotation reports whether the fabric has stopped sending to this VM.
+func (l *Leave) outOfRotation(now time.Duration) bool {
+	return l.unhealthyAt > 0 && now-max(l.unhealthyAt, l.lastPacket) >= idleTime
 }
--- a/internal/member/sparleave/leave_test.go
+++ b/internal/member/sparleave/leave_test.go
@@ -13,15 +13,15 @@
 	step  = 10 * ms
 	grace = 6 * time.Second
 
-	// Of the fabric and of starts.
-	probeEvery  = 500 * ms
-	probesToOut = 2
-	restartTime = 600 * ms
-	// outWithin is the time after SIGTERM within which a VM is out of rotation.
-	outWithin = 4 * time.Second
+	// Of the simulated fabric and VMs.
+	probeInterval      = 500 * ms
+	unhealthyThreshold = 2
+	restartTime        = 600 * ms
+	// rotationLimit is the time after SIGTERM within which a VM must be out of rotation.
+	rotationLimit = 4 * time.Second
 )
 
-// ExampleLeave ends a process soon after the fabric has left it.
+// ExampleLeave ends a process soon after the fabric has taken its VM out of rotation.
 func ExampleLeave() {
 	var l sparleave.Leave
 	l.Begin("vm-1", 1000*ms, grace)
@@ -35,8 +35,8 @@
 	// false true
 }
 
-// ended returns when a VM alone in its failure domain that was told to stop at 0 ends, with
-// probes and packets at the times given.
+// ended returns the time at which the process of a VM that is alone in its failure domain
+// and told to stop at 0 may end, given the times of probes and packets.
 func ended(grace time.Duration, probes, packets []time.Duration) time.Duration {
 	var l sparleave.Leave
 	l.Begin("vm-1", 0, grace)
@@ -58,7 +58,7 @@
 	}
 }
 
-// every returns times from first to last.
+// every returns the times from first to last at intervals of step.
 func every(first, last, step time.Duration) (times []time.Duration) {
 	for at := first; at <= last; at += step {
 		times = append(times, at)
@@ -66,8 +66,8 @@
 	return times
 }
 
-func TestEndsOnceTheFabricHasLeft(t *testing.T) {
-	probes := every(300*ms, 5000*ms, probeEvery)
+func TestEndsOnceOutOfRotation(t *testing.T) {
+	probes := every(300*ms, 5000*ms, probeInterval)
 	tests := []struct {
 		name            string
 		grace           time.Duration
@@ -75,12 +75,12 @@
 		want            time.Duration
 	}{
 		{"packets until the second probe", grace, probes, every(0, 800*ms, step), 950 * ms},
-		{"packets under way after it", grace, probes, every(0, 900*ms, step), 1050 * ms},
-		{"the fabric goes on sending", grace, probes, every(0, 9000*ms, step), 1800 * ms},
+		{"packets in flight after the second probe", grace, probes, every(0, 900*ms, step), 1050 * ms},
+		{"the fabric keeps sending", grace, probes, every(0, 9000*ms, step), 1800 * ms},
 		{"the fabric does not probe", grace, nil, nil, 1800 * ms},
-		{"others probe all the time", grace, every(0, 9000*ms, step), nil, 550 * ms},
-		{"others probe as well", grace, []time.Duration{50 * ms, 60 * ms, 70 * ms}, nil, 1800 * ms},
-		{"killed soon", 2 * time.Second, nil, nil, time.Second},
+		{"others probe continuously", grace, every(0, 9000*ms, step), nil, 550 * ms},
+		{"only others probe", grace, []time.Duration{50 * ms, 60 * ms, 70 * ms}, nil, 1800 * ms},
+		{"short grace period", 2 * time.Second, nil, nil, time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,26 +96,27 @@
 	l.Refused(0)
 	l.Refused(500 * ms)
 	if l.Done(time.Hour) || l.Begun() || !l.Ready() {
-		t.Error("a VM ends that was not told to")
+		t.Error("a VM ends that was not told to stop")
 	}
 	l.Begin("vm-1", time.Second, grace)
 	l.Tick(1, time.Second)
 	if l.Done(1500 * ms) {
-		t.Error("probes of its start count")
+		t.Error("probes refused during the start count")
 	}
 }
 
-// member is a VM of one failure domain, as the fabric sees it.
+// member is a VM of a failure domain, with its state at the fabric.
 type member struct {
-	leave   sparleave.Leave
-	missed  int           // probes in a row
-	stopped time.Duration // its process ended, or 0
-	told    time.Duration
+	leave         sparleave.Leave
+	refusedProbes int           // in a row
+	exitedAt      time.Duration // when its process ended, or 0
+	stopAt        time.Duration // when it was told to stop, or 0
 }
 
-// domain plays VMs that are told to stop at the times given, and returns for how long the
-// fabric sent packets to a VM that had stopped. Announcements get lost where deaf is set.
-func domain(t *testing.T, stops []time.Duration, deaf bool) (lost time.Duration) {
+// simulate runs the VMs of a failure domain that are told to stop at the given times, and
+// returns for how long the fabric sent packets to VMs that had stopped. All announcements are
+// lost if lossy is set.
+func simulate(t *testing.T, stops []time.Duration, lossy bool) (lost time.Duration) {
 	vms := make([]*member, len(stops))
 	for i := range vms {
 		vms[i] = &member{}
@@ -123,61 +124,61 @@
 	name := func(i int) string { return fmt.Sprintf("vm-%d", i) }
 	for now := step; now < 20*time.Second; now += step {
 		for i, vm := range vms {
-			running := vm.stopped == 0 || now-vm.stopped >= restartTime
-			if running && vm.stopped > 0 {
-				vm.leave, vm.stopped = sparleave.Leave{}, 0
+			running := vm.exitedAt == 0 || now-vm.exitedAt >= restartTime
+			if running && vm.exitedAt > 0 {
+				vm.leave, vm.exitedAt = sparleave.Leave{}, 0
 			}
 			if now == stops[i] {
 				vm.leave.Begin(name(i), now, grace)
-				vm.told = now
+				vm.stopAt = now
 			}
 			for _, d := range vm.leave.Tick(len(vms), now) {
 				for j, other := range vms {
-					if j != i && !deaf && other.stopped == 0 {
+					if j != i && !lossy && other.exitedAt == 0 {
 						other.leave.Heard(d, now)
 					}
 				}
 			}
-			if (now+time.Duration(i)*110*ms)%probeEvery == 0 {
+			if (now+time.Duration(i)*110*ms)%probeInterval == 0 {
 				if running && vm.leave.Ready() {
-					vm.missed = 0
+					vm.refusedProbes = 0
 				} else {
-					vm.missed++
+					vm.refusedProbes++
 					vm.leave.Refused(now)
 				}
 			}
 		}
 		out := 0
 		for _, vm := range vms {
-			if vm.missed >= probesToOut {
+			if vm.refusedProbes >= unhealthyThreshold {
 				out++
 			}
 		}
 		for _, vm := range vms {
-			sent := vm.missed < probesToOut || 2*(len(vms)-out) < len(vms)
-			if sent && vm.stopped > 0 {
+			sent := vm.refusedProbes < unhealthyThreshold || 2*(len(vms)-out) < len(vms)
+			if sent && vm.exitedAt > 0 {
 				lost += step
 			}
-			if sent && vm.stopped == 0 && vm.leave.Begun() {
+			if sent && vm.exitedAt == 0 && vm.leave.Begun() {
 				vm.leave.Packet(now)
 			}
-			if vm.stopped == 0 && vm.leave.Done(now) {
-				vm.stopped = now
+			if vm.exitedAt == 0 && vm.leave.Done(now) {
+				vm.exitedAt = now
 			}
-			if vm.told > 0 && now-vm.told == outWithin && vm.stopped == 0 && vm.leave.Begun() && vm.missed < probesToOut {
-				t.Fatalf("still in rotation %v after it was told to stop", outWithin)
+			if vm.stopAt > 0 && now-vm.stopAt == rotationLimit && vm.exitedAt == 0 && vm.leave.Begun() && vm.refusedProbes < unhealthyThreshold {
+				t.Fatalf("still in rotation %v after it was told to stop", rotationLimit)
 			}
-			if vm.stopped == 0 && vm.leave.Begun() && now-vm.told >= grace {
-				t.Fatalf("killed at %v, %v after it was told to stop", now, now-vm.told)
+			if vm.exitedAt == 0 && vm.leave.Begun() && now-vm.stopAt >= grace {
+				t.Fatalf("killed at %v, %v after it was told to stop", now, now-vm.stopAt)
 			}
 		}
 	}
 	return lost
 }
 
-// TestTurns tells several VMs of a failure domain to stop, close to each other, and checks
-// that the fabric never sends to one that has stopped.
-func TestTurns(t *testing.T) {
+// TestStaggeredShutdown tells several VMs of a failure domain to stop at close times. The
+// fabric must never send to one that has stopped.
+func TestStaggeredShutdown(t *testing.T) {
 	tests := []struct {
 		name  string
 		stops []time.Duration
@@ -194,20 +195,20 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if lost := domain(t, test.stops, false); lost > 0 {
+			if lost := simulate(t, test.stops, false); lost > 0 {
 				t.Errorf("packets went to stopped VMs for %v", lost)
 			}
 		})
 	}
 }
 
-// TestTurnsEnd tells all of a domain to stop, or lets none hear of the others: each still
-// ends before it is killed, whatever is lost.
-func TestTurnsEnd(t *testing.T) {
+// TestShutdownEnds tells all VMs of a domain to stop, or loses all announcements. Each VM must
+// still end before it is killed, whether or not packets are lost.
+func TestShutdownEnds(t *testing.T) {
 	t.Run("all of five at once", func(t *testing.T) {
-		domain(t, []time.Duration{time.Second, time.Second, time.Second, time.Second, time.Second}, false)
+		simulate(t, []time.Duration{time.Second, time.Second, time.Second, time.Second, time.Second}, false)
 	})
-	t.Run("none hears of the others", func(t *testing.T) {
-		domain(t, []time.Duration{time.Second, 1100 * ms, 1200 * ms}, true)
+	t.Run("announcements lost", func(t *testing.T) {
+		simulate(t, []time.Duration{time.Second, 1100 * ms, 1200 * ms}, true)
 	})
 }
