--- a/internal/settings/sparregistry/registry.go
+++ b/internal/settings/sparregistry/registry.go
@@ -1,15 +1,15 @@
-// Package sparregistry holds what a VM knows of the platform's keys.
+// Package sparregistry holds the replica of the platform's keys on a VM.
 //
-// A Registry is a join semilattice: each key keeps the entry of the highest
-// platform revision, so readings and peers' entries can be merged in any order,
-// twice or late, and no VM ever goes back:
+// A Registry is a join semilattice: each key keeps the entry with the highest
+// platform revision. So reads of the platform and entries of peers can be merged in
+// any order, twice or late, and no VM ever returns to an older entry:
 //
 //	var r sparregistry.Registry
 //	r = r.With(sparregistry.Entry{Key: "a", Value: []byte("new"), Revision: 7})
 //	r = r.With(sparregistry.Entry{Key: "a", Value: []byte("old"), Revision: 5})
 //	r.Get("a") // "new" at revision 7
 //
-// Registries are immutable values; With and Reading return changed copies.
+// Registries are immutable values; With, Reading and the like return changed copies.
 package sparregistry
 
 import (
@@ -38,14 +38,15 @@
 		synced   bool
 	}
 
-	// Share is what a VM hands to a peer of its registry: every live entry that has
-	// changed after a revision, and the deletions that it knows of since.
+	// Share is what a VM sends to a peer of its registry: a delta of the entries that
+	// have changed after a revision and the deletions on record since then, or a full
+	// copy.
 	Share struct {
-		After    uint64 // 0 for everything
+		After    uint64 // 0 for a full copy
 		Entries  []Entry
 		Base     uint64 // digest of the live entries that have not changed after After
 		Revision uint64 // at which the registry is complete
-		Synced   bool   // it holds a whole reading
+		Synced   bool   // the registry holds a full read
 	}
 )
 
@@ -69,7 +70,7 @@
 
 // Missing returns the number of live entries under prefix that are not among entries.
 func (r Registry) Missing(prefix string, entries []Entry) (n int) {
-	present := keys(entries)
+	present := keySet(entries)
 	for key, e := range r.entries {
 		if !e.Deleted && !present[key] && strings.HasPrefix(key, prefix) {
 			n++
@@ -78,10 +79,10 @@
 	return n
 }
 
-// Share returns what a peer lacks that is complete at a revision, 0 where it knows nothing
-// and gets everything.
+// Share returns the delta for a peer whose registry is complete at after, or a full copy if
+// after is 0.
 func (r Registry) Share(after uint64) Share {
-	s := Share{After: after, Entries: []Entry{}, Base: r.base(after), Revision: r.revision, Synced: r.synced}
+	s := Share{After: after, Entries: []Entry{}, Base: r.baseDigest(after), Revision: r.revision, Synced: r.synced}
 	for _, e := range r.entries {
 		if e.Revision > after {
 			s.Entries = append(s.Entries, e)
@@ -91,8 +92,8 @@
 	return s
 }
 
-// base returns the digest of the live entries that have not changed after a revision.
-func (r Registry) base(after uint64) uint64 {
+// baseDigest returns the digest of the live entries that have not changed after a revision.
+func (r Registry) baseDigest(after uint64) uint64 {
 	sum := uint64(0)
 	for _, e := range r.entries {
 		if e.Revision <= after {
@@ -108,10 +109,10 @@
 // Digest returns a hash of the live entries. Equal registries have equal digests.
 func (r Registry) Digest() uint64 { return r.digest }
 
-// Synced reports whether r holds a whole reading, of the platform or of a peer.
+// Synced reports whether r holds a full read, made by this VM or merged from a peer.
 func (r Registry) Synced() bool { return r.synced }
 
-// With returns r merged with entries, as far as the last of them.
+// With returns r merged with entries and complete at the highest revision among them.
 func (r Registry) With(entries ...Entry) Registry {
 	next := r.merge(entries)
 	for _, e := range entries {
@@ -120,29 +121,29 @@
 	return next
 }
 
-// merge keeps the newer entry of each key. It leaves the revision alone.
+// merge keeps the newer entry of each key. It does not change the revision of r.
 func (r Registry) merge(entries []Entry) Registry {
 	next := r
 	copied := false
 	for _, e := range entries {
-		held, ok := next.entries[e.Key]
-		if ok && held.Revision >= e.Revision {
+		old, ok := next.entries[e.Key]
+		if ok && old.Revision >= e.Revision {
 			continue
 		}
 		if !copied {
 			next.entries = cloneEntries(r.entries)
 			copied = true
 		}
-		next.digest ^= digest(held) ^ digest(e)
+		next.digest ^= digest(old) ^ digest(e)
 		next.entries[e.Key] = e
 	}
 	return next
 }
 
-// Reading returns r merged with a whole reading of the platform made at revision.
-// Keys that the reading lacks are deleted, unless r knows them from a later
-// revision: an old reading loses. A reading of several pages may hold entries of later
-// revisions and lack others, so it counts as complete at revision alone.
+// Reading returns r merged with the entries of a full read of the platform at revision.
+// Keys that are not among them are deleted, unless r holds them at revision or later, so
+// that an old read deletes nothing newer. A read of several pages may contain entries of
+// later revisions and lack others, so the result is complete at revision only.
 func (r Registry) Reading(entries []Entry, revision uint64) Registry {
 	next := r.replace(entries, 0, revision)
 	next.revision = max(r.revision, revision)
@@ -150,51 +151,52 @@
 	return next
 }
 
-// WithSome returns r merged with entries beside which others may be missing. It counts as
-// complete at the revision that it had.
+// WithSome returns r merged with an incomplete set of entries. It remains complete at the
+// revision that it had.
 func (r Registry) WithSome(entries []Entry) Registry { return r.merge(entries) }
 
-// replace returns r merged with all entries that have changed after one revision as of
-// another. Keys with such a change that are not among them are deleted.
+// replace returns r merged with entries, the complete set of live entries that changed
+// between after and revision. Other keys of r that changed in between are deleted.
 func (r Registry) replace(entries []Entry, after, revision uint64) Registry {
 	next := r.merge(entries)
-	present := keys(entries)
-	var gone []Entry
+	present := keySet(entries)
+	var deleted []Entry
 	for key, e := range next.entries {
 		if !e.Deleted && !present[key] && e.Revision > after && e.Revision < revision {
-			gone = append(gone, Entry{Key: key, Revision: revision, Deleted: true})
+			deleted = append(deleted, Entry{Key: key, Revision: revision, Deleted: true})
 		}
 	}
-	return next.merge(gone)
+	return next.merge(deleted)
 }
 
-// WithChanges returns r merged with the changes after a revision at which r is complete.
-// revisions are those of all changes in the platform, in order, also of keys that r does
-// not hold. It reports false where one is missing on the way to a revision that the
-// platform has reached: the changes then prove nothing, and r is returned as it was.
+// WithChanges returns r merged with the entries of an incremental read after the revision
+// after, at which r must be complete. revisions are those of all changes at the platform, in
+// order, including changes of keys that r does not hold. It returns r unchanged and false if
+// a revision up to reached, which the platform has reached, is missing: the read is then
+// incomplete.
 func (r Registry) WithChanges(entries []Entry, revisions []uint64, after, reached uint64) (next Registry, ok bool) {
-	at := after
+	last := after
 	for _, revision := range revisions {
-		if revision > at+1 {
+		if revision > last+1 {
 			return r, false
 		}
-		at = max(at, revision)
+		last = max(last, revision)
 	}
-	if at < reached || r.revision < after || !r.synced {
+	if last < reached || r.revision < after || !r.synced {
 		return r, false
 	}
 	next = r.merge(entries)
-	next.revision = max(r.revision, at)
+	next.revision = max(r.revision, last)
 	return next, true
 }
 
-// WithShare returns r merged with what a peer has shared. A peer that has started lately
-// never held some of the keys that were deleted, and cannot tell. So it is compared what
-// both hold of older changes: where that differs a deletion is missing, and the result
-// counts as complete at r's own revision still, which is reported.
+// WithShare returns r merged with the share of a peer. A peer that has started recently never
+// held some of the deleted keys and so can't include their deletions. Therefore the digests of
+// the older entries of both are compared. If they differ, a deletion is missing: complete is
+// false and the result remains complete only at the revision of r.
 func (r Registry) WithShare(s Share) (next Registry, complete bool) {
 	next = r.replace(s.Entries, s.After, s.Revision)
-	if !s.Synced || next.base(s.After) != s.Base {
+	if !s.Synced || next.baseDigest(s.After) != s.Base {
 		return next, false
 	}
 	next.revision = max(r.revision, s.Revision)
@@ -202,7 +204,7 @@
 	return next, true
 }
 
-func keys(entries []Entry) map[string]bool {
+func keySet(entries []Entry) map[string]bool {
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.Key] = true
--- a/internal/settings/sparregistry/registry_test.go
+++ b/internal/settings/sparregistry/registry_test.go
@@ -18,7 +18,7 @@
 	// Output: new at revision 7
 }
 
-// TestOrderDoesNotMatter merges the same entries in two orders, some twice.
+// TestOrderDoesNotMatter merges the same entries in two orders, in one of them each twice.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		entries := rapid.SliceOf(rapid.Custom(func(r *rapid.T) sparregistry.Entry {
@@ -41,26 +41,26 @@
 	})
 }
 
-func TestReadingDeletesOnlyWhatItCouldSee(t *testing.T) {
+func TestFullReadDeletesOnlyOlderKeys(t *testing.T) {
 	var r sparregistry.Registry
 	r = r.With(sparregistry.Entry{Key: "old", Revision: 3}, sparregistry.Entry{Key: "late", Revision: 9})
 	r = r.Reading(nil, 5)
 	if _, ok := r.Get("old"); ok {
-		t.Error("a key that the reading lacks is still there")
+		t.Error("a key that is missing from the read was not deleted")
 	}
 	if _, ok := r.Get("late"); !ok {
-		t.Error("a reading at revision 5 deleted a key of revision 9")
+		t.Error("a read at revision 5 deleted a key of revision 9")
 	}
 }
 
-// TestPagesAreNoSnapshot reads two pages while entries change between them, and checks
-// that a peer which pulls what changed misses nothing.
+// TestPagesAreNoSnapshot reads two pages between which entries change. A peer that pulls the
+// changes must not miss any.
 func TestPagesAreNoSnapshot(t *testing.T) {
 	entry := func(key string, revision uint64) sparregistry.Entry {
 		return sparregistry.Entry{Key: key, Revision: revision}
 	}
-	// The first page shows a at 5. Then a changes at 11 and z at 12; the second page
-	// shows z alone.
+	// The first page contains a at 5. Then a changes at 11 and z at 12; the second page
+	// contains only z.
 	reader := sparregistry.Registry{}.Reading([]sparregistry.Entry{entry("a", 5), entry("z", 12)}, 10)
 	if reader.Revision() != 10 {
 		t.Errorf("complete at %d, want 10", reader.Revision())
@@ -73,8 +73,9 @@
 	}
 }
 
-// TestChangesProveThemselves merges changes, and refuses those that leave some out.
-func TestChangesProveThemselves(t *testing.T) {
+// TestIncompleteChangesAreRefused merges the changes of incremental reads. Those that lack
+// some must be refused.
+func TestIncompleteChangesAreRefused(t *testing.T) {
 	start := sparregistry.Registry{}.Reading([]sparregistry.Entry{{Key: "a", Revision: 3}, {Key: "b", Revision: 4}}, 5)
 	entries := []sparregistry.Entry{{Key: "a", Revision: 7}, {Key: "b", Revision: 8, Deleted: true}}
 	tests := []struct {
@@ -84,37 +85,37 @@
 		want      bool
 	}{
 		{"all of them", []uint64{6, 7, 8}, 8, true},
-		{"more than were asked for", []uint64{6, 7, 8}, 7, true},
-		{"two of one revision", []uint64{6, 7, 7, 8}, 8, true},
-		{"one left out", []uint64{7, 8}, 8, false},
-		{"the last left out", []uint64{6, 7}, 8, false},
-		{"all left out", nil, 8, false},
-		{"none, and none made", nil, 5, true},
+		{"more than requested", []uint64{6, 7, 8}, 7, true},
+		{"two with the same revision", []uint64{6, 7, 7, 8}, 8, true},
+		{"first missing", []uint64{7, 8}, 8, false},
+		{"last missing", []uint64{6, 7}, 8, false},
+		{"all missing", nil, 8, false},
+		{"no changes", nil, 5, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			next, ok := start.WithChanges(entries, test.revisions, start.Revision(), test.reached)
 			if ok != test.want {
-				t.Fatalf("proved: %v, want %v", ok, test.want)
+				t.Fatalf("complete: %v, want %v", ok, test.want)
 			}
 			if !ok && (next.Digest() != start.Digest() || next.Revision() != start.Revision()) {
-				t.Error("changes that prove nothing were taken")
+				t.Error("incomplete changes were merged")
 			}
 			if ok && next.Revision() < test.reached {
 				t.Errorf("complete at %d, want %d", next.Revision(), test.reached)
 			}
 		})
 	}
-	t.Run("onto an older state", func(t *testing.T) {
+	t.Run("older registry", func(t *testing.T) {
 		if _, ok := start.WithChanges(entries, []uint64{8}, 7, 8); ok {
-			t.Error("changes after 7 were taken by a registry that is complete at 5")
+			t.Error("changes after 7 were merged into a registry that is complete at 5")
 		}
 	})
 }
 
-// TestFreshPeerKnowsNoDeletions pulls from a VM that started after a key was deleted, and
-// so never held it. What follows the peer's revision alone would leave the key in force.
-func TestFreshPeerKnowsNoDeletions(t *testing.T) {
+// TestPeerLacksDeletions pulls from a VM that started after a key was deleted, and so has no
+// record of the deletion. A follower that trusted the peer's revision alone would keep the key.
+func TestPeerLacksDeletions(t *testing.T) {
 	entry := func(key string, revision uint64) sparregistry.Entry {
 		return sparregistry.Entry{Key: key, Revision: revision}
 	}
@@ -129,19 +130,19 @@
 		complete bool
 		entries  int
 	}{
-		{"one that missed a deletion", read(2, entry("a", 1), entry("b", 2)), false, 2},
-		{"one that knows the deletions", read(6, entry("a", 1), entry("c", 4)), true, 1},
-		{"one from before, with nothing deleted", read(1, entry("a", 1)), true, 2},
-		{"one whose reading had more on a later page", read(4, entry("a", 1), entry("c", 4), entry("x", 5)), true, 1},
-		{"one that knows more", read(4, entry("a", 1), entry("c", 4), entry("e", 8)), true, 1},
-		{"one that knows nothing", sparregistry.Registry{}, true, 3},
+		{"follower lacks a deletion", read(2, entry("a", 1), entry("b", 2)), false, 2},
+		{"follower has the deletions", read(6, entry("a", 1), entry("c", 4)), true, 1},
+		{"older follower, nothing deleted", read(1, entry("a", 1)), true, 2},
+		{"follower has a later revision from a second page", read(4, entry("a", 1), entry("c", 4), entry("x", 5)), true, 1},
+		{"follower has a newer entry", read(4, entry("a", 1), entry("c", 4), entry("e", 8)), true, 1},
+		{"empty follower", sparregistry.Registry{}, true, 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			share := fresh.Share(test.follower.Revision())
 			next, complete := test.follower.WithShare(share)
 			if complete != test.complete || len(share.Entries) != test.entries {
-				t.Fatalf("complete: %v after %d entries, want %v after %d", complete, len(share.Entries), test.complete, test.entries)
+				t.Fatalf("complete: %v with %d entries, want %v with %d", complete, len(share.Entries), test.complete, test.entries)
 			}
 			if !complete {
 				if next.Revision() != test.follower.Revision() {
@@ -151,7 +152,7 @@
 			}
 			for _, key := range []string{"b", "x"} {
 				if _, ok := next.Get(key); ok {
-					t.Errorf("%s is in force", key)
+					t.Errorf("deleted key %s is in force", key)
 				}
 			}
 			if !complete || next.Revision() != 7 {
