--- a/internal/settings/sparroster/roster.go
+++ b/internal/settings/sparroster/roster.go
@@ -1,13 +1,14 @@
-// Package sparroster holds the settings of a fabric whose platform lists routes,
-// upstreams and VMs: who may serve what, and where.
+// Package sparroster holds the settings of a fabric: the routes, upstreams and VMs that
+// are registered at its platform.
 //
-// The platform's own form is decoded at its edge into facts, one for each key. A
-// Roster is built from the facts of a registry and is immutable:
+// A Decoder translates the platform's format into facts, one for each key. A Roster is
+// built from the facts of a registry and is immutable:
 //
 //	roster := sparroster.New(registry, platform.Decode)
 //	route, ok := roster.Route(address)
 //
-// An entry that cannot be read is left out and listed in Problems; the others hold.
+// An entry that cannot be decoded is left out and reported in Problems; the other entries
+// remain in force.
 package sparroster
 
 import (
@@ -25,57 +26,58 @@
 )
 
 const (
-	// RoutingKey is the registry key of the routes.
+	// RoutingKey is the registry key of the Routing.
 	RoutingKey = "routing"
-	// UpstreamPrefix begins the registry keys of upstreams, followed by their id.
+	// UpstreamPrefix is the prefix of the registry keys of upstreams. Their id follows.
 	UpstreamPrefix = "upstream/"
-	// VMPrefix begins the registry keys of VMs, followed by their name.
+	// VMPrefix is the prefix of the registry keys of VMs. Their name follows.
 	VMPrefix = "vm/"
 
-	// DefaultIdle is how long a flow may be silent where the routing does not say.
+	// DefaultIdle is the idle timeout of flows if the routing sets none.
 	DefaultIdle = 15 * time.Second
 )
 
 type (
-	// Fact is what one key says. It is a sealed interface: Routing, Upstream or VM.
+	// Fact is the decoded value of a key. It is a sealed interface: Routing, Upstream or
+	// VM.
 	Fact interface {
 		fact()
 	}
 
-	// Decoder reads the value of a registry key in the platform's form.
+	// Decoder decodes the value of a registry key from the platform's format.
 	Decoder func(key string, value []byte) (Fact, error)
 
-	// Routing is the configuration of the operator.
+	// Routing is the configuration set by the operator.
 	Routing struct {
 		Version uint64
 		Routes  []Route
-		Idle    time.Duration // silence after which a flow may be forgotten
-		Refused []string      // routes that cannot be used, and why
+		Idle    time.Duration // idle timeout of flows
+		Refused []string      // invalid routes, with the reason
 	}
 
-	// Route says which services take the flows to one address.
+	// Route maps an address to the services that take its flows.
 	Route struct {
 		Name    string
-		Address sparflow.Endpoint // what callers connect to
+		Address sparflow.Endpoint // that clients connect to
 		Targets []Target
 	}
 
 	// Target is a service with its share of new flows.
 	Target struct {
 		Service string
-		Weight  int // 0 takes no new flows
+		Weight  int // 0 for no new flows
 	}
 
-	// Upstream is one server as it lists itself.
+	// Upstream is one server as it has registered itself.
 	Upstream struct {
-		ID       uint64 // names the server in packets to it
+		ID       uint64 // identifies the server in packets to it
 		Service  string
 		At       sparflow.Endpoint
 		Domain   string
-		Slots    int // requests that it works on at once
+		Slots    int // requests that it serves concurrently
 		Draining bool
-		Warm     time.Duration // how much longer it is slow after its start
-		Born     int64         // Unix milliseconds of its start, 0 where it does not say
+		Warm     time.Duration // rest of its warm-up, during which it is slow
+		Born     int64         // start time in Unix milliseconds, 0 if unknown
 	}
 
 	// VM is one entry VM.
@@ -83,7 +85,7 @@
 		sparconfig.VM
 	}
 
-	// Problem is an entry that was left out.
+	// Problem is an entry, or a route of the routing, that was left out.
 	Problem struct {
 		Key      string
 		Revision uint64
@@ -99,12 +101,12 @@
 		VMs       []sparconfig.VM
 		Problems  []Problem
 
-		routes map[sparflow.Endpoint]Route
-		read   map[string]reading
+		routes  map[sparflow.Endpoint]Route
+		decoded map[string]decodedEntry
 	}
 
-	// reading is an entry as decoded at a revision.
-	reading struct {
+	// decodedEntry is the result of decoding an entry at a revision.
+	decodedEntry struct {
 		revision uint64
 		fact     Fact
 		err      error
@@ -115,26 +117,26 @@
 func (Upstream) fact() {}
 func (VM) fact()       {}
 
-// New returns the roster that the live entries of a registry make up.
+// New returns the roster of the live entries of a registry.
 func New(registry sparregistry.Registry, decode Decoder) Roster {
 	return Roster{}.With(registry, decode)
 }
 
-// With returns the roster that the live entries of a registry make up. Entries that r
-// has read at the same revision are not decoded again.
+// With returns the roster of the live entries of a registry. Entries that r has decoded
+// at the same revision are not decoded again.
 func (r Roster) With(registry sparregistry.Registry, decode Decoder) Roster {
 	next := Roster{
 		Revision: registry.Revision(), Digest: registry.Digest(),
-		Routing: Routing{Idle: DefaultIdle}, routes: map[sparflow.Endpoint]Route{}, read: map[string]reading{},
+		Routing: Routing{Idle: DefaultIdle}, routes: map[sparflow.Endpoint]Route{}, decoded: map[string]decodedEntry{},
 	}
 	for _, e := range registry.Under("") {
-		known, ok := r.read[e.Key]
-		if !ok || known.revision != e.Revision {
-			fact, err := decode.read(e)
-			known = reading{revision: e.Revision, fact: fact, err: err}
+		d, ok := r.decoded[e.Key]
+		if !ok || d.revision != e.Revision {
+			fact, err := decode.decodeEntry(e)
+			d = decodedEntry{revision: e.Revision, fact: fact, err: err}
 		}
-		next.read[e.Key] = known
-		next.add(e.Key, known)
+		next.decoded[e.Key] = d
+		next.add(e.Key, d)
 	}
 	for _, route := range next.Routing.Routes {
 		next.routes[route.Address] = route
@@ -144,9 +146,9 @@
 	return next
 }
 
-// read decodes an entry. A decoder that panics spoils this entry alone: each VM has the same
-// ones, and all of them would end.
-func (d Decoder) read(e sparregistry.Entry) (fact Fact, err error) {
+// decodeEntry decodes an entry. A panic of the decoder becomes an error of this entry, since all
+// VMs have the same entries and would otherwise all crash.
+func (d Decoder) decodeEntry(e sparregistry.Entry) (fact Fact, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			fact, err = nil, errors.Errorf("decoding panicked: %v", cause)
@@ -155,8 +157,8 @@
 	return d(e.Key, e.Value)
 }
 
-// add takes one decoded entry.
-func (r *Roster) add(key string, entry reading) {
+// add adds a decoded entry to the roster, or the problem that it has.
+func (r *Roster) add(key string, entry decodedEntry) {
 	if entry.err != nil {
 		r.Problems = append(r.Problems, Problem{Key: key, Revision: entry.revision, Cause: entry.err.Error()})
 		return
@@ -174,7 +176,7 @@
 	}
 }
 
-// Route returns the route of an address.
+// Route returns the route for an address.
 func (r Roster) Route(at sparflow.Endpoint) (route Route, ok bool) {
 	route, ok = r.routes[at]
 	return route, ok
@@ -185,10 +187,10 @@
 	return slices.Sorted(maps.Keys(r.routes))
 }
 
-// Takes reports whether the route lists the service, whatever its share.
+// Takes reports whether the service is a target of the route, whatever its weight.
 func (r Route) Takes(service string) bool {
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service == service })
 }
 
-// ErrUnknownKey is the cause of a decoder's refusal of a key that it has no form for.
+// ErrUnknownKey is returned by a Decoder for a key of a kind that it does not support.
 const ErrUnknownKey = errors.ConstError("no such kind of key")
--- a/internal/settings/sparroster/roster_test.go
+++ b/internal/settings/sparroster/roster_test.go
@@ -13,7 +13,7 @@
 
 var front = sparflow.MakeEndpoint(0xc6120001, 443)
 
-// decode is the form of these tests: the value is the service of an upstream.
+// decode is the decoder of these tests. The value of an upstream is the name of its service.
 func decode(key string, value []byte) (sparroster.Fact, error) {
 	switch {
 	case key == sparroster.RoutingKey:
@@ -24,7 +24,7 @@
 	return sparroster.Upstream{ID: uint64(len(key)), Service: string(value)}, nil
 }
 
-// ExampleNew shows that an entry that cannot be read leaves the others in force.
+// ExampleNew shows that an entry that cannot be decoded leaves the others in force.
 func ExampleNew() {
 	r := sparregistry.Registry{}.With(
 		sparregistry.Entry{Key: sparroster.RoutingKey, Revision: 1},
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestPanickingDecoder reads an entry that the decoder does not survive beside others.
+// TestPanickingDecoder decodes an entry on which the decoder panics. The other entries must
+// remain in force.
 func TestPanickingDecoder(t *testing.T) {
 	r := sparregistry.Registry{}.With(
 		sparregistry.Entry{Key: "upstream/1", Value: []byte("a"), Revision: 2},
