--- a/internal/member/sparmember/member.go
+++ b/internal/member/sparmember/member.go
@@ -1,15 +1,15 @@
-// Package sparmember decides which VMs take part, from heartbeats.
+// Package sparmember determines the membership of VMs from heartbeats.
 //
-// A Tracker makes decisions only: the shell feeds it heartbeats, the platform's
-// list and the time, and sends the heartbeats it asks for.
+// A Tracker does no I/O and reads no clock: its caller passes it the heartbeats
+// received, the VMs registered at the platform and the time, and sends its heartbeats.
 //
-//	t := sparmember.NewTracker(self, incarnation)
+//	t := sparmember.NewTracker(self, incarnation, now)
 //	t.Heard(heartbeat, now)
 //	view := t.View(now) // the VMs that may own slots, in name order
 //
-// The list of the platform says whom to talk to. Only a fresh heartbeat makes a VM
-// a member, so a list that lags or still names the dead does no harm. Two VMs
-// take each other for members only while both hear each other.
+// The VMs registered at the platform receive heartbeats. Only a recent heartbeat makes
+// a VM a member, so a registration that is late or that of a dead VM does no harm. Two
+// VMs consider each other members only while both receive each other's heartbeats.
 package sparmember
 
 import (
@@ -26,18 +26,19 @@
 )
 
 const (
-	// Beat is the time between two heartbeats to a peer.
+	// Beat is the interval of the heartbeats to a peer.
 	Beat = 300 * time.Millisecond
-	// Silence is how long a peer may be silent and stay a member.
-	Silence = 4 * Beat
-	// Fresh is the longest pause of this process after which its view still holds.
+	// peerTimeout is the time without a heartbeat after which a peer is no longer a member.
+	peerTimeout = 4 * Beat
+	// Fresh is the longest pause of this process after which its view is still valid.
 	Fresh = 900 * time.Millisecond
-	// Listen is how long a starting VM listens before it may own slots alone.
-	Listen = 5 * Beat
-	// Patience is how long disagreement about the view may delay overrides.
-	Patience = 5 * time.Second
+	// listenTime is how long a starting VM listens for owners before it may own slots alone.
+	listenTime = 5 * Beat
+	// disagreementTimeout is how long disagreement about the view, or an incomplete view,
+	// may delay a VM: its overrides, and its start as an owner.
+	disagreementTimeout = 5 * time.Second
 
-	forget = time.Minute
+	forgetAfter = time.Minute
 
 	owns = sparchart.Mark("owns")
 )
@@ -48,84 +49,85 @@
 var vmChart = sparchart.MustParse(chartText)
 
 type (
-	// Member is one VM that may own slots.
+	// Member is a VM that may own slots.
 	Member struct {
 		VM          sparconfig.VM
 		Incarnation uint64
-		Rank        uint64 // hash of the name, for rendezvous
+		Rank        uint64 // hash of the name, for rendezvous hashing
 	}
 
 	// View is the set of VMs that may own slots, in name order. It is immutable.
 	View struct {
 		Members []Member
-		Leaving []Member // heard, on their way out, handing slots over
+		Leaving []Member // peers that are leaving and hand their slots over
 		Digest  uint64
 		Settled bool // every member reports this same view
 	}
 
-	// Heartbeat is what a VM tells each peer about itself.
+	// Heartbeat is the state of a VM that it sends to each peer.
 	Heartbeat struct {
 		VM          sparconfig.VM
 		Incarnation uint64
 		Owns        bool // may own slots
 		Leaving     bool
-		Synced      bool     // holds a whole reading of the settings
+		Synced      bool     // its settings hold a full read
 		Revision    uint64   // of its settings
 		Digest      uint32   // of its settings, folded
 		View        uint32   // digest of its view, folded
-		Deaf        []string // peers spoken to and not heard within Silence, in order
-		Full        bool     // VM carries its addresses, not only its name
+		Deaf        []string // targets without a heartbeat within peerTimeout, in name order
+		Full        bool     // VM contains the addresses, not only the name
 	}
 
-	// Tracker follows the VMs of a deployment for one of them.
+	// Tracker tracks the membership of the VMs of a deployment on behalf of one of them.
 	Tracker struct {
-		self        sparconfig.VM
-		incarnation uint64
-		state       sparchart.State
-		listed      map[string]sparconfig.VM
-		peers       map[string]*peer
-		synced      bool
-		began       time.Duration
-		ticked      time.Duration
-		unsettled   time.Duration
-		partial     time.Duration // last time that a listed VM was out of reach
-		view        View
+		self           sparconfig.VM
+		incarnation    uint64
+		state          sparchart.State
+		registered     map[string]sparconfig.VM
+		peers          map[string]*peer
+		synced         bool
+		listenSince    time.Duration
+		lastTick       time.Duration
+		unsettledSince time.Duration
+		unreachableAt  time.Duration // last time that a VM registered as live was unreachable
+		view           View
 	}
 
 	peer struct {
-		last Heartbeat
-		at   time.Duration
+		last       Heartbeat
+		receivedAt time.Duration
 	}
 )
 
 // NewTracker returns a Tracker for self, which starts at monotonic time now.
-// The incarnation grows with each start of the VM.
+// The incarnation must increase with each start of the VM.
 func NewTracker(self sparconfig.VM, incarnation uint64, now time.Duration) *Tracker {
 	return &Tracker{
 		self: self, incarnation: incarnation, state: vmChart.Start(),
-		listed: map[string]sparconfig.VM{}, peers: map[string]*peer{},
-		began: now, ticked: now, unsettled: now,
+		registered: map[string]sparconfig.VM{}, peers: map[string]*peer{},
+		listenSince: now, lastTick: now, unsettledSince: now,
 	}
 }
 
-// List takes the platform's list of VMs.
+// List sets the VMs that are registered at the platform.
 func (t *Tracker) List(vms []sparconfig.VM) {
-	t.listed = map[string]sparconfig.VM{}
+	t.registered = map[string]sparconfig.VM{}
 	for _, vm := range vms {
-		t.listed[vm.Name] = vm
+		t.registered[vm.Name] = vm
 	}
 }
 
-// Synced says that the settings hold a whole reading. Only from then on does this VM
-// know whom to listen for.
+// Synced is called when the settings hold a full read. Only then does this VM know its
+// peers, so the time to listen for them begins at the first call.
 func (t *Tracker) Synced() {
 	if !t.synced {
-		t.began = t.ticked
+		t.listenSince = t.lastTick
 	}
 	t.synced = true
 }
 
-// Heard takes a heartbeat. A first one counts only with the addresses of its sender.
+// Heard is called for a heartbeat received. The first one of a peer is ignored unless it
+// contains the addresses of the peer.
 func (t *Tracker) Heard(h Heartbeat, now time.Duration) {
 	p := t.peers[h.VM.Name]
 	switch {
@@ -139,62 +141,63 @@
 	if !h.Full {
 		h.VM = p.last.VM
 	}
-	t.peers[h.VM.Name] = &peer{last: h, at: now}
+	t.peers[h.VM.Name] = &peer{last: h, receivedAt: now}
 }
 
-// Stop makes the VM leave: it owns no slot from the next view on.
+// Stop makes the VM leave. It owns no slots from the next view on.
 func (t *Tracker) Stop() { t.state = vmChart.Next(t.state, "stop") }
 
 // State returns the state of this VM in the chart.
 func (t *Tracker) State() sparchart.State { return t.state }
 
-// Tick moves time on. Where the process slept past Fresh it returns for how long:
-// nothing that it knew of the others holds any more.
+// Tick advances the time. If the process was paused for longer than Fresh, it returns the
+// length of the pause and treats all peers as timed out, since their state is out of date.
 func (t *Tracker) Tick(now time.Duration) (pause time.Duration) {
-	if now-t.ticked > Fresh {
-		pause = now - t.ticked
+	if now-t.lastTick > Fresh {
+		pause = now - t.lastTick
 		t.state = vmChart.Next(t.state, "frozen")
-		t.began = now
+		t.listenSince = now
 		for _, p := range t.peers {
-			p.at = now - Silence - Beat
+			p.receivedAt = now - peerTimeout - Beat
 		}
 	}
-	t.ticked = now
+	t.lastTick = now
 	for name, p := range t.peers {
-		if now-p.at > forget {
+		if now-p.receivedAt > forgetAfter {
 			delete(t.peers, name)
 		}
 	}
-	if !vmChart.Has(t.state, owns) && t.mayServe(now) {
+	if !vmChart.Has(t.state, owns) && t.mayOwn(now) {
 		t.state = vmChart.Next(t.state, "ready")
 	}
 	return pause
 }
 
-// mayServe waits for settings, and until the owners heard hear this VM too. Where
-// nobody speaks up, or some stay deaf for long, it goes on without them.
-func (t *Tracker) mayServe(now time.Duration) bool {
+// mayOwn reports whether this VM may begin to own slots: it has settings, and the owners
+// from which it receives heartbeats receive its own too. If there are no owners, or some
+// don't receive its heartbeats for long, it no longer waits for them.
+func (t *Tracker) mayOwn(now time.Duration) bool {
 	if !t.synced {
 		return false
 	}
-	waited := now - t.began
-	owners, deaf := 0, 0
+	waited := now - t.listenSince
+	owners, oneWay := 0, 0
 	for _, p := range t.peers {
 		if !t.live(p, now) || !p.last.Owns {
 			continue
 		}
 		owners++
-		if !t.mutual(p) {
-			deaf++
+		if !t.receives(p) {
+			oneWay++
 		}
 	}
 	switch {
 	case owners == 0:
-		return waited >= Listen
-	case deaf == 0:
+		return waited >= listenTime
+	case oneWay == 0:
 		return waited >= 2*Beat
 	}
-	return waited >= Patience
+	return waited >= disagreementTimeout
 }
 
 // View returns the VMs that may own slots at now.
@@ -206,7 +209,7 @@
 	for _, p := range t.peers {
 		switch {
 		case !t.live(p, now):
-		case p.last.Owns && t.mutual(p):
+		case p.last.Owns && t.receives(p):
 			next.Members = append(next.Members, member(p.last.VM, p.last.Incarnation))
 		case p.last.Leaving:
 			next.Leaving = append(next.Leaving, member(p.last.VM, p.last.Incarnation))
@@ -220,16 +223,16 @@
 		}
 	}
 	if next.Settled || next.Digest != t.view.Digest {
-		t.unsettled = now
+		t.unsettledSince = now
 	}
-	if now-t.unsettled > Patience {
+	if now-t.unsettledSince > disagreementTimeout {
 		next.Settled = true
 	}
 	t.view = next
 	return next
 }
 
-// Beats returns this VM's heartbeat for the given settings.
+// Beats returns the heartbeat of this VM with the given settings.
 func (t *Tracker) Beats(revision, digest uint64, now time.Duration) Heartbeat {
 	h := Heartbeat{
 		VM: t.self, Incarnation: t.incarnation, Synced: t.synced,
@@ -244,10 +247,11 @@
 	return h
 }
 
-// Targets returns the VMs to send heartbeats to: those listed and those heard.
+// Targets returns the VMs to send heartbeats to, in name order: those registered and those
+// from which heartbeats were received.
 func (t *Tracker) Targets() []sparconfig.VM {
 	targets := map[string]sparconfig.VM{}
-	for name, vm := range t.listed {
+	for name, vm := range t.registered {
 		targets[name] = vm
 	}
 	for name, p := range t.peers {
@@ -262,7 +266,7 @@
 	return list
 }
 
-// Live returns the last heartbeats of the peers heard within Silence, by name.
+// Live returns the last heartbeats of the peers that have not timed out, in name order.
 func (t *Tracker) Live(now time.Duration) []Heartbeat {
 	var list []Heartbeat
 	for _, p := range t.peers {
@@ -274,7 +278,7 @@
 	return list
 }
 
-// Incarnation returns the life of a peer that has been heard.
+// Incarnation returns the incarnation of a peer from which a heartbeat was received.
 func (t *Tracker) Incarnation(name string) (incarnation uint64, ok bool) {
 	p := t.peers[name]
 	if p == nil {
@@ -283,7 +287,7 @@
 	return p.last.Incarnation, true
 }
 
-// VM returns the addresses of a peer that has been heard.
+// VM returns the addresses of a peer from which a heartbeat was received.
 func (t *Tracker) VM(name string) (vm sparconfig.VM, ok bool) {
 	p := t.peers[name]
 	if p == nil {
@@ -292,67 +296,68 @@
 	return p.last.VM, true
 }
 
-// Listed reports whether the platform's list names a VM.
+// Listed reports whether a VM is registered at the platform.
 func (t *Tracker) Listed(name string) bool {
-	_, ok := t.listed[name]
+	_, ok := t.registered[name]
 	return ok
 }
 
-// ListedLive reports whether the platform's list names a VM as live.
+// ListedLive reports whether a VM is registered at the platform as live.
 func (t *Tracker) ListedLive(name string) bool {
-	return t.listed[name].State == sparconfig.Live
+	return t.registered[name].State == sparconfig.Live
 }
 
-// Hears reports whether a peer was heard within Silence.
+// Hears reports whether this VM receives the heartbeats of a peer.
 func (t *Tracker) Hears(name string, now time.Duration) bool {
 	p := t.peers[name]
 	return p != nil && t.live(p, now)
 }
 
-// Partial reports whether a VM that the platform lists as live is out of reach, or was
-// within Patience before now.
+// Partial reports whether the view may be incomplete: a VM that is registered as live is
+// unreachable, or was within disagreementTimeout before now.
 func (t *Tracker) Partial(now time.Duration) bool {
-	for name, vm := range t.listed {
+	for name, vm := range t.registered {
 		if name != t.self.Name && vm.State == sparconfig.Live && !t.Knows(name, now) {
-			t.partial = now
+			t.unreachableAt = now
 			break
 		}
 	}
-	return t.partial > 0 && now-t.partial < Patience
+	return t.unreachableAt > 0 && now-t.unreachableAt < disagreementTimeout
 }
 
-// Knows reports whether a peer hears this VM and so has its addresses.
+// Knows reports whether a peer receives the heartbeats of this VM and so has its addresses.
 func (t *Tracker) Knows(name string, now time.Duration) bool {
-	return t.Hears(name, now) && t.mutual(t.peers[name])
+	return t.Hears(name, now) && t.receives(t.peers[name])
 }
 
-// Watches reports whether this VM reads the platform for its failure domain: the
-// two best ranked members of a domain do.
+// Watches reports whether this VM reads the platform for its failure domain. The two synced VMs
+// of the domain with the highest rendezvous weights do.
 func (t *Tracker) Watches(now time.Duration) bool {
-	const watchers = 2
+	const readers = 2
 	slot := int(sparrank.Name(t.self.Domain) % 1024)
-	mine := sparrank.Weight(slot, sparrank.Name(t.self.Name))
-	better := 0
+	weight := sparrank.Weight(slot, sparrank.Name(t.self.Name))
+	preceding := 0
 	for _, p := range t.peers {
 		if !t.live(p, now) || p.last.VM.Domain != t.self.Domain || !p.last.Synced {
 			continue
 		}
-		if sparrank.Weight(slot, sparrank.Name(p.last.VM.Name)) > mine {
-			better++
+		if sparrank.Weight(slot, sparrank.Name(p.last.VM.Name)) > weight {
+			preceding++
 		}
 	}
-	return better < watchers
+	return preceding < readers
 }
 
+// live reports whether a heartbeat of the peer was received within peerTimeout.
 func (t *Tracker) live(p *peer, now time.Duration) bool {
-	return now-p.at <= Silence
+	return now-p.receivedAt <= peerTimeout
 }
 
-// mutual reports whether the peer hears this VM. A peer that never knew of this VM
-// would not have sent it a heartbeat.
-func (t *Tracker) mutual(p *peer) bool {
-	_, deaf := slices.BinarySearch(p.last.Deaf, t.self.Name)
-	return !deaf
+// receives reports whether the peer receives the heartbeats of this VM: it doesn't report
+// this VM as unreachable. A peer that didn't know this VM would not send heartbeats to it.
+func (t *Tracker) receives(p *peer) bool {
+	_, unreachable := slices.BinarySearch(p.last.Deaf, t.self.Name)
+	return !unreachable
 }
 
 func member(vm sparconfig.VM, incarnation uint64) Member {
@@ -369,7 +374,7 @@
 	return d.Sum64()
 }
 
-// Fold shortens a digest to what a heartbeat carries.
+// Fold folds a digest to the 32 bits that a heartbeat carries.
 func Fold(digest uint64) uint32 {
 	return uint32(digest ^ digest>>32)
 }
