--- a/internal/member/sparmember/member.go
+++ b/internal/member/sparmember/member.go
@@ -330,8 +330,8 @@
 	return t.Hears(name, now) && t.receives(t.peers[name])
 }
 
-// Watches reports whether this VM reads the platform for its failure domain. The two synced VMs
-// of the domain with the highest rendezvous weights do.
+// Watches reports whether this VM reads the platform for its failure domain: at most one synced
+// peer of the domain has a higher rendezvous weight.
 func (t *Tracker) Watches(now time.Duration) bool {
 	const readers = 2
 	slot := int(sparrank.Name(t.self.Domain) % 1024)
--- a/internal/member/sparsync/outage.go
+++ b/internal/member/sparsync/outage.go
@@ -50,8 +50,8 @@
 func (s *Sync) rank() int { return slices.Index(s.names(0), s.self.Name) }
 
 // nextBackoff returns how long to wait before the platform is tried again, and doubles the
-// next delay up to maxBackoff. The delay of VMs beyond firstReaders grows with their rank
-// instead, so that the rate of calls does not grow with the fleet.
+// next delay up to maxBackoff. For synced VMs beyond firstReaders the delay grows with their
+// rank instead, so that the rate of calls does not grow with the fleet.
 func (s *Sync) nextBackoff() time.Duration {
 	if group := s.rank() / firstReaders; group > 0 && s.Synced() {
 		return maxBackoff * time.Duration(1+group)
--- a/internal/member/sparsync/reader_test.go
+++ b/internal/member/sparsync/reader_test.go
@@ -8,8 +8,9 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// TestLargeSettingsAreReadIncrementally checks that the reads of large settings stay within
-// the limit on control traffic, also while the platform omits changes for some time.
+// TestLargeSettingsAreReadIncrementally checks that large settings are in force in time while
+// the reads stay within the limit on control traffic, and within a larger one if the platform
+// omits changes for some time.
 func TestLargeSettingsAreReadIncrementally(t *testing.T) {
 	tests := []struct {
 		name        string
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -25,8 +25,8 @@
 	// startTimeout is how long a starting VM leaves reading to peers at most while they reply:
 	// a large fleet on slow links is ready by then.
 	startTimeout = 5 * time.Second
-	// startJitter is the time over which the reads of VMs are spread whose peers stopped
-	// replying or which reached startTimeout.
+	// startJitter is the time over which reads are spread once peers have stopped replying
+	// or startTimeout has passed.
 	startJitter = 750 * time.Millisecond
 	// silentAfter is the time without a reply after which a starting VM no longer waits for
 	// peers: a few queries, since one may be lost.
--- a/internal/member/sparsync/sync.go
+++ b/internal/member/sparsync/sync.go
@@ -197,7 +197,7 @@
 	s.start.lastReply = now
 }
 
-// markFresh records that the settings were complete at a time, as known from a round.
+// markFresh records that the settings were complete at the time at, known from a read round.
 func (s *Sync) markFresh(at time.Duration, round readRound) {
 	if at <= s.freshAt && s.Synced() {
 		return
