--- a/internal/peer/sparcontrol/codec.go
+++ b/internal/peer/sparcontrol/codec.go
@@ -19,22 +19,22 @@
 		input()
 	}
 
-	// Report is a heartbeat with what travels beside it.
+	// Report is a heartbeat with the clock stamp and loads sent along with it.
 	Report struct {
 		Heartbeat sparmember.Heartbeat
 		Stamp     spartimeline.Stamp
 		Loads     []ServiceLoad
 	}
 
-	// ServiceLoad gives the open flows per upstream, in the order of the document of
-	// the service at Revision.
+	// ServiceLoad holds the number of open flows per upstream, in the order in which
+	// the service document at Revision lists them.
 	ServiceLoad struct {
 		Service  string
 		Revision uint64
 		Flows    []int
 	}
 
-	// Message is a frame of the stream from the VM called Name.
+	// Message is a stream frame sent by the VM called Name.
 	Message struct {
 		Name  string
 		Frame sparstream.Frame[sparroute.Message]
@@ -48,7 +48,7 @@
 func (Asked) input()    {}
 func (Departed) input() {}
 
-// EncodeBeat returns a heartbeat in wire form.
+// EncodeBeat encodes a heartbeat as a datagram.
 func EncodeBeat(r Report) []byte {
 	h := r.Heartbeat
 	beat := &Beat{
@@ -67,7 +67,7 @@
 	return marshal(&Datagram{Body: &Datagram_Beat{Beat: beat}})
 }
 
-// EncodeFrame returns a frame in wire form.
+// EncodeFrame encodes a stream frame as a datagram.
 func EncodeFrame(m Message) []byte {
 	f := &Frame{Name: m.Name, Pair: m.Frame.Pair, Seq: m.Frame.Seq, Ack: m.Frame.Ack}
 	switch body := m.Frame.Body.(type) {
@@ -86,7 +86,7 @@
 	return marshal(&Datagram{Body: &Datagram_Frame{Frame: f}})
 }
 
-// Decode reads a datagram.
+// Decode decodes a datagram and checks the VM names in it.
 func Decode(b []byte) (in Input, err error) {
 	defer func() {
 		if err != nil {
@@ -159,19 +159,19 @@
 	return m, nil
 }
 
-// FromVM returns vm in wire form.
+// FromVM converts vm to its protobuf message.
 func FromVM(vm sparconfig.VM) *VM {
 	return &VM{Name: vm.Name, Domain: vm.Domain, Data: vm.Data, Control: vm.Control}
 }
 
-// ToVM returns the VM that v names.
+// ToVM converts v to a live VM of the settings. A nil v gives one without a name.
 func (v *VM) ToVM() sparconfig.VM {
 	return sparconfig.VM{
 		Name: v.GetName(), Domain: v.GetDomain(), Data: v.GetData(), Control: v.GetControl(), State: sparconfig.Live,
 	}
 }
 
-// convert maps a list from one form to the other.
+// convert applies to to each element. It returns nil for an empty list.
 func convert[A, B any](list []A, to func(A) B) []B {
 	if len(list) == 0 {
 		return nil
@@ -186,7 +186,7 @@
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // fails only on strings that are not UTF-8, and names are checked
+		panic(err) // only strings that aren't UTF-8 fail, and names are checked
 	}
 	return b
 }
--- a/internal/peer/sparcontrol/codec_test.go
+++ b/internal/peer/sparcontrol/codec_test.go
@@ -12,7 +12,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// TestDatagrams sends what VMs of the cookie carrier tell each other there and back.
+// TestDatagrams encodes and decodes the messages between VMs of the cookie carrier.
 func TestDatagrams(t *testing.T) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2", State: sparconfig.Live}
 	notice := sparsync.Notice{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: 6 * time.Millisecond}
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestNamelessDatagramsAreRefused decodes what no VM sends.
+// TestNamelessDatagramsAreRefused decodes messages without a VM name, which no VM sends.
 func TestNamelessDatagramsAreRefused(t *testing.T) {
 	for name, bytes := range map[string][]byte{
 		"departure": sparcontrol.EncodeDeparture(sparleave.Departure{Refusing: true}),
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestShares sends what a VM shares with a peer there and back.
+// TestShares encodes and decodes a full copy and deltas of a registry. A delta must also
+// remove a deleted key at the receiver.
 func TestShares(t *testing.T) {
 	registry := sparregistry.Registry{}.Reading([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
@@ -72,13 +73,13 @@
 			t.Errorf("after %d: %+v, want %+v", after, got, want)
 		}
 		if _, held := follower.Get("a"); after == 4 && (!complete || held || follower.Digest() != registry.Digest()) {
-			t.Errorf("after %d: complete: %v, the deleted key is held: %v", after, complete, held)
+			t.Errorf("after %d: complete: %v, the deleted key is present: %v", after, complete, held)
 		}
 	}
 }
 
-// TestAgesOutOfRange decodes ages that would lie in the future once they are times: with
-// them old settings would look fresh for good.
+// TestAgesOutOfRange decodes ages that lie in the future when converted to times. Old
+// settings would look fresh forever with them.
 func TestAgesOutOfRange(t *testing.T) {
 	from := sparconfig.VM{Name: "vm-1", Domain: "a", Data: "10.0.0.1:1", Control: "10.0.0.1:2"}
 	for name, bytes := range map[string][]byte{
@@ -94,17 +95,17 @@
 	}
 }
 
-// TestDamagedShares decodes shares that broke off or claim to be larger than a VM takes.
+// TestDamagedShares decodes shares that are truncated or declare a size above the limit.
 func TestDamagedShares(t *testing.T) {
 	whole := sparcontrol.EncodeShare(sparregistry.Registry{}.Reading([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
 	}, 6).Share(0))
 	for n := range whole {
 		if got, err := sparcontrol.DecodeShare(whole[:n]); err == nil {
-			t.Errorf("the first %d of %d bytes are taken for %+v", n, len(whole), got)
+			t.Errorf("the first %d of %d bytes are decoded as %+v, want an error", n, len(whole), got)
 		}
 	}
 	if _, err := sparcontrol.DecodeShare([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 0}); err == nil {
-		t.Error("4 GB are taken")
+		t.Error("a share of 4 GB is accepted")
 	}
 }
--- a/internal/peer/sparcontrol/doc.go
+++ b/internal/peer/sparcontrol/doc.go
@@ -1,6 +1,6 @@
-// Package sparcontrol holds the messages between VMs in their wire form: protocol
-// buffers, and the twirp service Control. A Datagram is encoded and read back as
-// the typed values of the deciding packages:
+// Package sparcontrol encodes the messages between VMs as protocol buffers and holds
+// the twirp service Control. Decode turns a Datagram into the types of the packages
+// that act on it:
 //
 //	b := sparcontrol.EncodeBeat(sparcontrol.Report{Heartbeat: heartbeat})
 //	switch m, err := sparcontrol.Decode(b); m := m.(type) {
--- a/internal/peer/sparcontrol/fuzz_test.go
+++ b/internal/peer/sparcontrol/fuzz_test.go
@@ -11,7 +11,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// FuzzDecode reads datagrams of anyone. What is taken has a name and no age in the future.
+// FuzzDecode decodes arbitrary datagrams. One that is accepted has a VM name and no
+// negative age, which would be a time in the future.
 func FuzzDecode(f *testing.F) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2"}
 	f.Add(sparcontrol.EncodeNotice(sparsync.Notice{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
@@ -41,7 +42,7 @@
 	})
 }
 
-// FuzzDecodeShare reads what a peer hands over, damaged.
+// FuzzDecodeShare decodes damaged shares and merges those that are accepted.
 func FuzzDecodeShare(f *testing.F) {
 	f.Add(sparcontrol.EncodeShare(sparregistry.Registry{}.Reading([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
--- a/internal/peer/sparcontrol/notice.go
+++ b/internal/peer/sparcontrol/notice.go
@@ -10,32 +10,32 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// maxAge bounds the ages that VMs tell: longer than any of them runs.
+// maxAge is the largest age accepted from a peer: longer than any VM runs.
 const maxAge = 10 * 365 * 24 * time.Hour
 
 type (
-	// Told is a notice of a peer about its settings.
+	// Told is a peer's notification about its settings.
 	Told struct {
 		Notice sparsync.Notice
 	}
 
-	// Received says that a notice arrived at a peer.
+	// Received is a peer's receipt for a notification.
 	Received struct {
 		From sparconfig.VM
 	}
 
-	// Departed is a peer's word that it was told to stop.
+	// Departed is a peer's notification that it is stopping.
 	Departed struct {
 		Departure sparleave.Departure
 	}
 
-	// Asked is a peer's question whether the settings here are more recent.
+	// Asked is a peer's query whether this VM has more recent settings.
 	Asked struct {
 		Query sparsync.Query
 	}
 )
 
-// EncodeNotice returns a notice in wire form.
+// EncodeNotice encodes a notification as a datagram.
 func EncodeNotice(n sparsync.Notice) []byte {
 	return marshal(&Datagram{Body: &Datagram_Notice{Notice: &Notice{
 		From: FromVM(n.From), Reader: n.Reader, Round: n.Round,
@@ -43,12 +43,12 @@
 	}}})
 }
 
-// EncodeReceipt returns a receipt in wire form.
+// EncodeReceipt encodes a receipt of the VM from as a datagram.
 func EncodeReceipt(from sparconfig.VM) []byte {
 	return marshal(&Datagram{Body: &Datagram_Receipt{Receipt: &Receipt{From: &VM{Name: from.Name}}}})
 }
 
-func decodeNotice(n *Notice) (told Told, err error) {
+func decodeNotice(n *Notice) (t Told, err error) {
 	vm := n.GetFrom().ToVM()
 	if err := sparconfig.CheckName(vm.Name); err != nil {
 		return Told{}, err
@@ -65,8 +65,9 @@
 	}}, err
 }
 
-// ToAge returns the age that a peer gives in microseconds. One that no VM reaches is an
-// error: taken for a time it could lie in the future, and old settings would look fresh.
+// ToAge converts an age in microseconds received from a peer. It returns an error above
+// maxAge: converted to a time, such an age could lie in the future and make old settings
+// look fresh.
 func ToAge(us uint64) (age time.Duration, err error) {
 	if us > uint64(maxAge.Microseconds()) {
 		return 0, errors.Errorf("an age of %d us, expected at most %s", us, maxAge)
@@ -74,7 +75,7 @@
 	return time.Duration(us) * time.Microsecond, nil
 }
 
-// EncodeQuery returns a query in wire form.
+// EncodeQuery encodes a query as a datagram.
 func EncodeQuery(q sparsync.Query) []byte {
 	return marshal(&Datagram{Body: &Datagram_Query{Query: &Query{
 		From: FromVM(q.From), Synced: q.Synced, Age: uint64(q.Age.Microseconds()),
@@ -82,7 +83,7 @@
 	}}})
 }
 
-func decodeQuery(q *Query) (asked Asked, err error) {
+func decodeQuery(q *Query) (a Asked, err error) {
 	vm := q.GetFrom().ToVM()
 	if err := sparconfig.CheckName(vm.Name); err != nil {
 		return Asked{}, err
@@ -94,26 +95,26 @@
 	if err != nil {
 		return Asked{}, err
 	}
-	asked = Asked{Query: sparsync.Query{From: vm, Synced: q.Synced, Age: age}}
+	a = Asked{Query: sparsync.Query{From: vm, Synced: q.Synced, Age: age}}
 	for _, o := range q.Outages {
-		since, err := ToAge(o.Age)
+		outageAge, err := ToAge(o.Age)
 		if err != nil {
 			return Asked{}, err
 		}
-		asked.Query.Outages = append(asked.Query.Outages, sparsync.Outage{VM: o.Vm, Age: since})
+		a.Query.Outages = append(a.Query.Outages, sparsync.Outage{VM: o.Vm, Age: outageAge})
 	}
-	return asked, nil
+	return a, nil
 }
 
 func fromOutage(o sparsync.Outage) *Outage {
 	return &Outage{Vm: o.VM, Age: uint64(o.Age.Microseconds())}
 }
 
-// EncodeDeparture returns a departure in wire form.
+// EncodeDeparture encodes a departure as a datagram.
 func EncodeDeparture(d sparleave.Departure) []byte {
 	return marshal(&Datagram{Body: &Datagram_Departure{Departure: &Departure{From: d.From, Refusing: d.Refusing}}})
 }
 
-func decodeDeparture(d *Departure) (departed Departed, err error) {
+func decodeDeparture(d *Departure) (out Departed, err error) {
 	return Departed{Departure: sparleave.Departure{From: d.From, Refusing: d.Refusing}}, sparconfig.CheckName(d.From)
 }
--- a/internal/peer/sparcontrol/share.go
+++ b/internal/peer/sparcontrol/share.go
@@ -8,20 +8,20 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// maxShare bounds a share in bytes before it is compressed: several times the settings of
-// a large fleet, and little enough for the memory of a small VM.
+// maxShare is the largest share in bytes, uncompressed: several times the settings of a
+// large fleet, yet small enough for the memory of a small VM.
 const maxShare = 16 << 20
 
-// EncodeShare returns what a VM shares of its settings, compressed. The entries of a
-// fleet look alike, so that this is a fraction of them.
+// EncodeShare encodes and compresses a delta or full copy of a registry. The entries of
+// a fleet are alike, so they compress to a fraction of their size.
 func EncodeShare(s sparregistry.Share) []byte {
 	return s2.Encode(nil, marshal(&Share{
 		After: s.After, Entries: convert(s.Entries, fromEntry), Base: s.Base, Revision: s.Revision, Synced: s.Synced,
 	}))
 }
 
-// DecodeShare reads what EncodeShare returns. Its errors tell damaged bytes, and more of
-// them than a VM takes.
+// DecodeShare decodes the output of EncodeShare. It returns an error if the bytes are
+// damaged or decompress to more than maxShare.
 func DecodeShare(b []byte) (s sparregistry.Share, err error) {
 	defer func() {
 		if err != nil {
--- a/internal/peer/sparcontrol/survey.go
+++ b/internal/peer/sparcontrol/survey.go
@@ -12,16 +12,16 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// SurveyWait bounds a round of facts, so that status answers within a second.
+// SurveyWait is the timeout of a survey, so that a status query returns within a second.
 const SurveyWait = 600 * time.Millisecond
 
-// Dial returns a client of the VM with a control address.
+// Dial returns a client for the VM at a control address. It doesn't connect yet.
 func Dial(control string, client *http.Client) Control {
 	return NewControlProtobufClient("http://"+control, client)
 }
 
-// AskAll asks VMs for their facts and adds them to those of this VM. A VM that does not
-// answer this very question in time is listed as silent.
+// AskAll queries the facts of vms and adds them to own, those of this VM. A VM is listed
+// as silent if no response with the id and VM name of the query arrives in time.
 func AskAll(ctx context.Context, own *FactsReply, vms []sparconfig.VM, client *http.Client) *SurveyReply {
 	ctx, cancel := context.WithTimeout(ctx, SurveyWait)
 	defer cancel()
@@ -44,7 +44,8 @@
 	return reply
 }
 
-// FromEvents returns the events that a request asks for, and the VMs that have more.
+// FromEvents returns the reply to r of the VM called vm: those of events that match the
+// requested service or belong to no service, and the other VMs to query.
 func FromEvents(r *EventsRequest, vm string, events []spartimeline.Event, others []sparconfig.VM) *EventsReply {
 	reply := &EventsReply{Id: r.Id, Vm: vm}
 	for _, e := range events {
--- a/internal/peer/sparstream/stream.go
+++ b/internal/peer/sparstream/stream.go
@@ -1,17 +1,17 @@
-// Package sparstream delivers messages between two VMs in order, over datagrams
-// that may be lost, doubled or late.
+// Package sparstream delivers messages between two VMs in order and once, over datagrams
+// that may be lost, duplicated or delayed.
 //
-// It is the part of a transport that twirp cannot give within a few kilobytes a
-// second: a frame costs some 20 bytes beside its body. A Stream is one VM's end:
+// The traffic must stay within a few kilobytes per second, which twirp can't do; a frame
+// adds about 20 bytes to its body. A Stream is one end of the connection:
 //
 //	s := sparstream.New[string](1, now)
 //	s.Queue("hello")
 //	for _, frame := range s.Due(now) {
-//		// send frame; the other end calls Take and answers with frames of its own
+//		// send frame; the other end passes it to Take and replies with frames of its own
 //	}
 //
-// Each frame acknowledges what has arrived in the other direction. A stream
-// belongs to one pair of incarnations; a frame of another pair is ignored.
+// Each frame acknowledges the frames received in the other direction. A stream belongs
+// to one pair of incarnations of the two VMs; frames of another pair are ignored.
 package sparstream
 
 import (
@@ -22,14 +22,14 @@
 )
 
 const (
-	// Resend is the time after which an unacknowledged frame is sent again.
+	// Resend is the retransmission timeout of an unacknowledged frame.
 	Resend = 150 * time.Millisecond
-	// Window is the number of frames that may be unacknowledged.
+	// Window is the largest number of frames sent without an acknowledgement.
 	Window = 64
 )
 
 type (
-	// Frame is one datagram of a stream. Seq is 0 in a bare acknowledgement.
+	// Frame is one datagram of a stream. Seq is 0 in an acknowledgement without a body.
 	Frame[T any] struct {
 		Pair uint32 // hash of the incarnations of sender and receiver
 		Seq  uint64
@@ -37,22 +37,22 @@
 		Body T
 	}
 
-	// Stream is one end of a pair. Use New.
+	// Stream is one end of a connection between two VMs. Use New.
 	Stream[T any] struct {
-		peer    uint64
-		out, in uint32 // pairs of the two directions
-		queue   []queued[T]
-		next    uint64
-		acked   uint64
-		taken   uint64
-		owesAck bool
+		peer     uint64
+		out, in  uint32 // pair hashes of the two directions
+		queue    []queued[T]
+		next     uint64 // sequence number of the next message queued
+		acked    uint64
+		received uint64 // last sequence number received in order
+		ackDue   bool
 	}
 
 	queued[T any] struct {
-		seq  uint64
-		body T
-		sent bool
-		at   time.Duration
+		seq    uint64
+		body   T
+		sent   bool
+		sentAt time.Duration
 	}
 )
 
@@ -61,10 +61,10 @@
 	return &Stream[T]{peer: peer, out: pair(self, peer), in: pair(peer, self), next: 1}
 }
 
-// Peer returns the incarnation of the other end.
+// Peer returns the incarnation of the VM at the other end.
 func (s *Stream[T]) Peer() uint64 { return s.peer }
 
-// Queue accepts a message and returns its sequence number.
+// Queue appends a message to be sent and returns its sequence number.
 func (s *Stream[T]) Queue(body T) (seq uint64) {
 	seq = s.next
 	s.next++
@@ -72,31 +72,33 @@
 	return seq
 }
 
-// Acked returns the highest sequence number that the other end has taken.
+// Acked returns the highest sequence number that the other end has acknowledged.
 func (s *Stream[T]) Acked() uint64 { return s.acked }
 
-// Pending returns the number of messages not acknowledged.
+// Pending returns the number of messages not yet acknowledged.
 func (s *Stream[T]) Pending() int { return len(s.queue) }
 
-// Due returns the frames to send at now.
+// Due returns the frames to send at time now: new ones, those whose retransmission
+// timeout has passed, or else an acknowledgement if one is outstanding.
 func (s *Stream[T]) Due(now time.Duration) []Frame[T] {
 	var frames []Frame[T]
 	for i := range s.queue[:min(len(s.queue), Window)] {
 		q := &s.queue[i]
-		if q.sent && now-q.at < Resend {
+		if q.sent && now-q.sentAt < Resend {
 			continue
 		}
-		q.sent, q.at = true, now
-		frames = append(frames, Frame[T]{Pair: s.out, Seq: q.seq, Ack: s.taken, Body: q.body})
+		q.sent, q.sentAt = true, now
+		frames = append(frames, Frame[T]{Pair: s.out, Seq: q.seq, Ack: s.received, Body: q.body})
 	}
-	if len(frames) == 0 && s.owesAck {
-		frames = append(frames, Frame[T]{Pair: s.out, Ack: s.taken})
+	if len(frames) == 0 && s.ackDue {
+		frames = append(frames, Frame[T]{Pair: s.out, Ack: s.received})
 	}
-	s.owesAck = false
+	s.ackDue = false
 	return frames
 }
 
-// Take accepts a frame. It returns the body where it is the next in order.
+// Take processes a received frame. It returns the body, and true, if the frame is the
+// next in order; others are sent again by the other end.
 func (s *Stream[T]) Take(f Frame[T]) (body T, ok bool) {
 	if f.Pair != s.in {
 		return body, false
@@ -105,15 +107,15 @@
 	if f.Seq == 0 {
 		return body, false
 	}
-	s.owesAck = true
-	if f.Seq != s.taken+1 {
+	s.ackDue = true
+	if f.Seq != s.received+1 {
 		return body, false
 	}
-	s.taken = f.Seq
+	s.received = f.Seq
 	return f.Body, true
 }
 
-// pair names a direction between two incarnations in 32 bits.
+// pair returns a 32-bit hash that identifies one direction between two incarnations.
 func pair(from, to uint64) uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], from)
--- a/internal/peer/sparstream/stream_test.go
+++ b/internal/peer/sparstream/stream_test.go
@@ -25,7 +25,8 @@
 	// 1 0
 }
 
-// TestLossyNetwork loses, doubles and delays frames: every message arrives once, in order.
+// TestLossyNetwork drops, duplicates and delays frames. Every message must still arrive
+// once and in order.
 func TestLossyNetwork(t *testing.T) {
 	const messages = 500
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -64,10 +65,10 @@
 	}
 }
 
-func TestFrameOfAnotherLifeIsIgnored(t *testing.T) {
-	old, reborn := sparstream.New[string](1, 2), sparstream.New[string](3, 1)
-	old.Queue("to an earlier life")
-	if _, ok := reborn.Take(old.Due(0)[0]); ok {
-		t.Error("taken")
+func TestFrameOfAnotherIncarnationIsIgnored(t *testing.T) {
+	old, restarted := sparstream.New[string](1, 2), sparstream.New[string](3, 1)
+	old.Queue("to the previous incarnation")
+	if _, ok := restarted.Take(old.Due(0)[0]); ok {
+		t.Error("the frame was accepted")
 	}
 }
