--- a/internal/operator/sparcli/cli.go
+++ b/internal/operator/sparcli/cli.go
@@ -1,7 +1,7 @@
-// Package sparcli is the command line of the product.
+// Package sparcli is the command line of oleanderspar.
 //
-// Each command is a plain struct of its arguments with a run method. Exit codes
-// tell a script what happened, without reading text:
+// Each command is a struct of its arguments with a run method. The exit code tells a
+// script the outcome, so that it need not parse text:
 //
 //	code := sparcli.Main(ctx, []string{"check", "service.json"}, os.Stdout, os.Stderr)
 //	if code == sparcli.Invalid {
@@ -19,30 +19,31 @@
 )
 
 const (
-	// Done is the exit code of success, or of a status that says go on.
+	// Done is the exit code of success, including status ok.
 	Done = 0
 	// Failed is the exit code of an error without a code of its own.
 	Failed = 1
-	// Invalid is the exit code of bad arguments or a bad document.
+	// Invalid is the exit code of invalid arguments or an invalid document.
 	Invalid = 2
-	// Conflict is the exit code of a write that another writer came before.
+	// Conflict is the exit code of a write that lost against another writer.
 	Conflict = 3
 	// Unwritten is the exit code of a write that never reached the platform.
 	Unwritten = 4
 	// Unknown is the exit code of a write whose outcome could not be read back.
 	Unknown = 5
-	// Forbidden is the exit code of a write to what another team or service holds.
+	// Forbidden is the exit code of a write to an address that another team or service
+	// has claimed.
 	Forbidden = 6
-	// Hold is the exit code of a status that says wait.
+	// Hold is the exit code of status hold: wait, a change is in progress.
 	Hold = 10
-	// Retry is the exit code of a status that says ask again.
+	// Retry is the exit code of status retry: query again, a fact could not be confirmed.
 	Retry = 11
-	// Call is the exit code of a status that says call someone.
+	// Call is the exit code of status call: an operator must act.
 	Call = 12
 )
 
 type (
-	// arguments are those of the whole program.
+	// arguments are the subcommands of the program.
 	arguments struct {
 		Serve    *serveCommand    `arg:"subcommand:serve" help:"run one entry VM"`
 		Check    *checkCommand    `arg:"subcommand:check" help:"check a settings file or service document"`
@@ -62,7 +63,7 @@
 		run(ctx context.Context, out streams) error
 	}
 
-	// streams are where a command writes.
+	// streams are the outputs of a command.
 	streams struct {
 		stdout, stderr io.Writer
 	}
@@ -74,13 +75,13 @@
 	}
 )
 
-// Error returns the text of the error.
+// Error implements error.
 func (e exit) Error() string { return e.err.Error() }
 
-// Unwrap returns the error.
+// Unwrap returns the error without its exit code.
 func (e exit) Unwrap() error { return e.err }
 
-// Description is the head of the help text.
+// Description implements arg.Described. The help text begins with it.
 func (arguments) Description() string {
 	return "oleanderspar is a layer-4 load balancer.\n"
 }
@@ -90,7 +91,7 @@
 	var a arguments
 	parser, err := arg.NewParser(arg.Config{Program: "oleanderspar", Out: stdout}, &a)
 	if err != nil {
-		panic(err) // the argument structs are wrong
+		panic(err) // the struct tags of the arguments are invalid
 	}
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
@@ -108,7 +109,7 @@
 	return report(c.run(ctx, streams{stdout: stdout, stderr: stderr}), stderr)
 }
 
-// report prints an error as one line and returns the exit code for it.
+// report prints an error as one line and returns its exit code.
 func report(err error, stderr io.Writer) int {
 	if err == nil {
 		return Done
@@ -124,5 +125,5 @@
 	return code
 }
 
-// errQuiet is the cause of an exit that has said everything on stdout.
-const errQuiet = errors.ConstError("said on stdout")
+// errQuiet is the error of an exit that needs no line on stderr, because stdout says all.
+const errQuiet = errors.ConstError("reported on stdout")
--- a/internal/operator/sparcli/read.go
+++ b/internal/operator/sparcli/read.go
@@ -34,8 +34,8 @@
 		Logs []string `arg:"positional,required" help:"log files of VMs"`
 	}
 
-	// line is one event in JSON.
-	line struct {
+	// jsonEvent is the JSON form of an event.
+	jsonEvent struct {
 		At      string `json:"at"`
 		VM      string `json:"vm"`
 		Kind    string `json:"kind"`
@@ -77,14 +77,14 @@
 		if err != nil {
 			return exit{Invalid, err}
 		}
-		defer func() { _ = f.Close() }() // only read
+		defer func() { _ = f.Close() }() // opened only to read, so no write can fail
 		logs = append(logs, f)
 	}
-	story, err := sparexplain.Read(logs, c.Flow)
+	trace, err := sparexplain.Read(logs, c.Flow)
 	if err != nil {
 		return err
 	}
-	for _, line := range story {
+	for _, line := range trace {
 		fmt.Fprintln(out.stdout, line)
 	}
 	return nil
@@ -92,17 +92,17 @@
 
 func formatEvent(e spartimeline.Event, asJSON bool) string {
 	if asJSON {
-		text, err := json.Marshal(line{
+		text, err := json.Marshal(jsonEvent{
 			At: e.At.String(), VM: e.VM, Kind: e.Kind, Service: e.Service, Subject: e.Subject, Count: e.Count,
 		})
 		if err != nil {
-			panic(err) // a line holds only strings and a number
+			panic(err) // strings and a number always encode
 		}
 		return string(text)
 	}
-	words := []string{e.At.String(), e.VM, e.Kind, e.Service, e.Subject}
+	fields := []string{e.At.String(), e.VM, e.Kind, e.Service, e.Subject}
 	if e.Count != 0 {
-		words = append(words, fmt.Sprint(e.Count))
+		fields = append(fields, fmt.Sprint(e.Count))
 	}
-	return strings.Join(strings.Fields(strings.Join(words, " ")), " ")
+	return strings.Join(strings.Fields(strings.Join(fields, " ")), " ")
 }
--- a/internal/operator/sparcli/serve.go
+++ b/internal/operator/sparcli/serve.go
@@ -65,16 +65,17 @@
 	if err != nil {
 		return exit{Invalid, err}
 	}
-	what, err := checkText(text)
+	kind, err := checkText(text)
 	if err != nil {
 		return exit{Invalid, errors.Annotate(err, c.File)}
 	}
-	fmt.Fprintf(out.stdout, "ok %s %s\n", what, c.File)
+	fmt.Fprintf(out.stdout, "ok %s %s\n", kind, c.File)
 	return nil
 }
 
-// checkText tells a settings file from a service document by its fields.
-func checkText(text []byte) (what string, err error) {
+// checkText checks a settings file or a service document, and returns which it is. Only a
+// settings file has the field platform.
+func checkText(text []byte) (kind string, err error) {
 	if bytes.Contains(text, []byte(`"platform"`)) {
 		_, err = sparconfig.ParseFile(text)
 		return "settings", err
--- a/internal/operator/sparcli/settings.go
+++ b/internal/operator/sparcli/settings.go
@@ -15,10 +15,11 @@
 	"github.com/oleanderspar/oleanderspar/internal/thread/sparring"
 )
 
-const waitStep = 300 * time.Millisecond
+// pollInterval is the time between the status reads of drain --wait.
+const pollInterval = 300 * time.Millisecond
 
 type (
-	// scope says which platform and team a command works on.
+	// scope is the platform and team that a command works on.
 	scope struct {
 		Platform string `arg:"--platform,env:OLEANDERSPAR_PLATFORM,required" help:"address of the key-value service"`
 		Team     string `arg:"--team,env:OLEANDERSPAR_TEAM,required" help:"the team whose settings to use"`
@@ -69,7 +70,7 @@
 		return exit{Invalid, errors.Annotate(err, c.File)}
 	}
 	revision, err := c.writer().Set(ctx, c.Service, d, c.Revision)
-	return wrote(out, revision, err)
+	return reportWrite(out, revision, err)
 }
 
 func (c *getCommand) run(ctx context.Context, out streams) (err error) {
@@ -97,7 +98,7 @@
 
 func (c *removeCommand) run(ctx context.Context, out streams) (err error) {
 	revision, err := c.writer().Remove(ctx, c.Service)
-	return wrote(out, revision, err)
+	return reportWrite(out, revision, err)
 }
 
 func (c *drainCommand) run(ctx context.Context, out streams) (err error) {
@@ -105,12 +106,12 @@
 		return exit{Invalid, errors.New("--wait needs --vm or OLEANDERSPAR_VMS")}
 	}
 	revision, err := c.writer().Drain(ctx, c.Service, c.Upstream, c.Within, time.Now())
-	if err := wrote(out, revision, err); err != nil || !c.Wait {
+	if err := reportWrite(out, revision, err); err != nil || !c.Wait {
 		return err
 	}
 	name := c.Team + "/" + c.Service
 	for !sparstatus.Read(ctx, c.VMs).Drained(name, c.Upstream, revision) {
-		if !sparring.Pause(ctx, waitStep) {
+		if !sparring.Pause(ctx, pollInterval) {
 			return exit{Hold, ctx.Err()}
 		}
 	}
@@ -118,8 +119,9 @@
 	return nil
 }
 
-// wrote reports the outcome of a write.
-func wrote(out streams, revision uint64, err error) error {
+// reportWrite prints the revision of a write that was accepted, or else returns its error
+// with an exit code.
+func reportWrite(out streams, revision uint64, err error) error {
 	if err != nil {
 		return classify(err)
 	}
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// classify gives an error of the writer its exit code.
+// classify returns an error of a sparwrite.Writer with its exit code.
 func classify(err error) error {
 	codes := []struct {
 		cause error
--- a/internal/operator/spardemo/demo.go
+++ b/internal/operator/spardemo/demo.go
@@ -1,5 +1,5 @@
-// Package spardemo shows a small deployment at work on one machine: long flows stay
-// whole while an upstream drains and a VM is replaced.
+// Package spardemo runs a small deployment on one machine and shows that long flows are
+// not broken while an upstream drains and a VM is replaced.
 package spardemo
 
 import (
@@ -23,27 +23,27 @@
 )
 
 const (
-	team      = "kalkkirinne"
-	deadline  = 20 * time.Second
-	askWait   = 4 * time.Second
-	settle    = 2500 * time.Millisecond
-	workers   = 32
-	callerNet = 0xCB007100 // 203.0.113.0
+	team           = "kalkkirinne"
+	runTimeout     = 20 * time.Second
+	requestTimeout = 4 * time.Second
+	settleTime     = 2500 * time.Millisecond
+	workers        = 32
+	clientNet      = 0xCB007100 // 203.0.113.0
 )
 
 type (
-	// Config is what a run can vary.
+	// Config configures a run.
 	Config struct {
-		Flows int
-		Seed  uint64
+		Flows int    // to hold open
+		Seed  uint64 // of the fabric
 	}
 
 	// service is one of the two services of the demo.
 	service struct {
-		name    string
-		at      sparflow.Endpoint
-		servers []*sparhost.Server
-		homes   []sparflow.Endpoint
+		name      string
+		at        sparflow.Endpoint
+		servers   []*sparhost.Server
+		upstreams []sparflow.Endpoint
 	}
 
 	// demo is one run.
@@ -52,31 +52,31 @@
 		out      io.Writer
 		site     *sparsite.Site
 		services []*service
-		caller   *sparhost.Caller
-		conns    []*flow
+		client   *sparhost.Caller
+		flows    []*flow
 		requests atomic.Int64
-		whole    atomic.Int64
-		wrong    atomic.Int64
+		answered atomic.Int64 // by the service and upstream of the flow
+		wrong    atomic.Int64 // answered by another service
 	}
 
-	// flow is one connection with the service and home it must keep.
+	// flow is one connection, whose service and upstream must not change.
 	flow struct {
-		conn    *sparhost.Conn
-		service *service
-		home    string
-		broken  atomic.Bool
+		conn     *sparhost.Conn
+		service  *service
+		upstream string // "" until the first response
+		broken   atomic.Bool
 	}
 )
 
-// Run shows the demo on w. It returns an error if a flow broke or a packet reached
-// another service.
+// Run runs the demo and prints its steps and results to w. It returns an error if a flow
+// broke or a packet reached another service.
 func Run(ctx context.Context, w io.Writer, cfg Config) (err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotate(err, "demo")
 		}
 	}()
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -96,21 +96,21 @@
 			return err
 		}
 	}
-	sparring.Pause(ctx, settle)
+	sparring.Pause(ctx, settleTime)
 	if err := d.start(); err != nil {
 		return err
 	}
-	sparring.Pause(ctx, settle/2)
+	sparring.Pause(ctx, settleTime/2)
 	d.say("open %d long flows, each packet through a random VM", d.cfg.Flows)
 	if err := d.open(ctx); err != nil {
 		return err
 	}
-	d.ask(ctx)
+	d.request(ctx)
 	booking := d.services[0]
-	d.say("drain upstream %s", booking.homes[0])
-	d.serve(booking, booking.homes[0].String())
-	sparring.Pause(ctx, settle)
-	d.ask(ctx)
+	d.say("drain upstream %s", booking.upstreams[0])
+	d.serve(booking, booking.upstreams[0].String())
+	sparring.Pause(ctx, settleTime)
+	d.request(ctx)
 	d.say("replace vm-1: it hands over while vm-5 joins")
 	if _, err := d.site.StartVM("vm-5", "north"); err != nil {
 		return err
@@ -118,9 +118,9 @@
 	if err := d.site.Leave(d.site.VMs()[0]); err != nil {
 		return err
 	}
-	d.ask(ctx)
-	sparring.Pause(ctx, settle/2) // until the others have seen it go
-	return d.conclude(ctx)
+	d.request(ctx)
+	sparring.Pause(ctx, settleTime/2) // until the other VMs have noticed that it left
+	return d.report(ctx)
 }
 
 func (d *demo) start() (err error) {
@@ -136,18 +136,18 @@
 				return err
 			}
 			s.servers = append(s.servers, server)
-			s.homes = append(s.homes, at)
+			s.upstreams = append(s.upstreams, at)
 		}
 		d.serve(s, "")
 	}
-	d.caller, err = sparhost.NewCaller(d.site.Fabric.Address())
+	d.client, err = sparhost.NewCaller(d.site.Fabric.Address())
 	return err
 }
 
-// serve writes the document of a service, with one upstream draining.
+// serve writes the document of a service. An upstream named by draining drains for an hour.
 func (d *demo) serve(s *service, draining string) {
 	document := sparconfig.Document{Address: s.at.String(), Proto: "tcp"}
-	for _, at := range s.homes {
+	for _, at := range s.upstreams {
 		document.Upstreams = append(document.Upstreams, sparconfig.Member{At: at.String()})
 	}
 	if draining != "" {
@@ -162,13 +162,13 @@
 		if n%5 == 4 {
 			f.service = d.services[1]
 		}
-		d.conns = append(d.conns, f)
+		d.flows = append(d.flows, f)
 	}
 	return d.each(func(n int, f *flow) error {
-		from := sparflow.MakeEndpoint(callerNet+uint32(n%200)+1, uint16(20000+n/200))
-		ctx, cancel := context.WithTimeout(ctx, askWait)
+		from := sparflow.MakeEndpoint(clientNet+uint32(n%200)+1, uint16(20000+n/200))
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		conn, err := d.caller.Open(ctx, from, f.service.at, f.service.name)
+		conn, err := d.client.Open(ctx, from, f.service.at, f.service.name)
 		if err != nil {
 			return err
 		}
@@ -177,11 +177,11 @@
 	})
 }
 
-// ask sends one request on each flow and checks where the answer came from.
-func (d *demo) ask(ctx context.Context) {
+// request sends one request on each flow and checks which upstream answered it.
+func (d *demo) request(ctx context.Context) {
 	d.say("ask once on every flow")
 	_ = d.each(func(n int, f *flow) error {
-		ctx, cancel := context.WithTimeout(ctx, askWait)
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		id := fmt.Sprintf("request-%d", d.requests.Add(1))
 		answer, err := f.conn.Ask(ctx, id)
@@ -190,9 +190,9 @@
 			f.broken.Store(true)
 		case answer.Service != f.service.name:
 			d.wrong.Add(1)
-		case answer.ID == id && (f.home == "" || f.home == answer.Upstream):
-			f.home = answer.Upstream
-			d.whole.Add(1)
+		case answer.ID == id && (f.upstream == "" || f.upstream == answer.Upstream):
+			f.upstream = answer.Upstream
+			d.answered.Add(1)
 		default:
 			f.broken.Store(true)
 		}
@@ -202,16 +202,16 @@
 
 func (d *demo) each(do func(n int, f *flow) error) error {
 	group := pool.New().WithMaxGoroutines(workers).WithErrors().WithFirstError()
-	for n, f := range d.conns {
+	for n, f := range d.flows {
 		group.Go(func() error { return do(n, f) })
 	}
 	return group.Wait()
 }
 
-// conclude prints the table and the status text.
-func (d *demo) conclude(ctx context.Context) (err error) {
+// report prints a table of the results and the status text.
+func (d *demo) report(ctx context.Context) (err error) {
 	broken := 0
-	for _, f := range d.conns {
+	for _, f := range d.flows {
 		if f.broken.Load() {
 			broken++
 		}
@@ -230,15 +230,15 @@
 	}
 	table := tabwriter.NewWriter(d.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "\nrequests\twhole answers\tbroken flows\twrong service\tbooking max/mean load\n")
-	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.2f\n\n", d.requests.Load(), d.whole.Load(), broken, wrong,
+	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.2f\n\n", d.requests.Load(), d.answered.Load(), broken, wrong,
 		float64(most)*float64(len(d.services[0].servers))/float64(max(total, 1)))
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	report := sparstatus.Read(ctx, []string{d.site.VMs()[0].File.Control})
-	fmt.Fprint(d.out, report.Text())
+	status := sparstatus.Read(ctx, []string{d.site.VMs()[0].File.Control})
+	fmt.Fprint(d.out, status.Text())
 	if broken > 0 || wrong > 0 {
-		return errors.Errorf("%d flows broke and %d requests reached another service", broken, wrong)
+		return errors.Errorf("%d flows broken, %d requests reached another service", broken, wrong)
 	}
 	return nil
 }
--- a/internal/operator/sparevents/events.go
+++ b/internal/operator/sparevents/events.go
@@ -1,8 +1,8 @@
-// Package sparevents reads the time line of all VMs as one ordered list.
+// Package sparevents reads the time lines of all VMs and merges them into one.
 //
 //	t := sparevents.Read(ctx, controls, since, "")
 //	for _, e := range t.Events { ... }
-//	// t.Silent names the VMs whose events are missing
+//	// t.Silent lists the VMs that didn't respond, whose events are missing
 package sparevents
 
 import (
@@ -18,20 +18,21 @@
 	"github.com/oleanderspar/oleanderspar/internal/peer/sparcontrol"
 )
 
-// Wait bounds the answer of one VM.
-const Wait = 900 * time.Millisecond
+// Timeout limits a query to the VMs.
+const Timeout = 900 * time.Millisecond
 
-// Timeline is the merged time line of the VMs that answered.
+// Timeline is the merged time line of the VMs that responded.
 type Timeline struct {
 	Events   []spartimeline.Event
 	Answered []string
 	Silent   []string
 }
 
-// Read asks the VMs at control addresses, and those that they name, for their events
-// since a time.
+// Read queries the events since a time from the VMs at the control addresses, and then
+// from the other VMs that their replies list. A service limits them to its events and
+// those of VMs.
 func Read(ctx context.Context, controls []string, since time.Time, service string) Timeline {
-	first := ask(ctx, controls, since, service)
+	first := query(ctx, controls, since, service)
 	names := map[string]string{}
 	for _, reply := range first {
 		for _, vm := range reply.Vms {
@@ -44,11 +45,12 @@
 			more = append(more, control)
 		}
 	}
-	return merge(append(first, ask(ctx, more, since, service)...), names)
+	return merge(append(first, query(ctx, more, since, service)...), names)
 }
 
-func ask(ctx context.Context, controls []string, since time.Time, service string) []*sparcontrol.EventsReply {
-	ctx, cancel := context.WithTimeout(ctx, Wait)
+// query returns the replies of the VMs that respond in time.
+func query(ctx context.Context, controls []string, since time.Time, service string) []*sparcontrol.EventsReply {
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	var mu sync.Mutex
 	var replies []*sparcontrol.EventsReply
@@ -72,6 +74,8 @@
 	return replies
 }
 
+// merge merges the events of replies, whose VMs may be repeated. names maps the control
+// address of each known VM to its name.
 func merge(replies []*sparcontrol.EventsReply, names map[string]string) Timeline {
 	var t Timeline
 	var lists [][]spartimeline.Event
--- a/internal/operator/sparexplain/explain.go
+++ b/internal/operator/sparexplain/explain.go
@@ -1,12 +1,13 @@
-// Package sparexplain joins the log lines of several VMs that explain one flow: its own
-// lines, what the VMs believed of its upstreams, and what happened to their settings.
+// Package sparexplain joins the log lines of several VMs that explain one flow: the lines
+// about the flow itself, about the state of its upstreams, and about the settings of the
+// VMs.
 //
-//	story, err := sparexplain.Read(logs, "100.64.0.12:1025")
-//	for _, line := range story {
+//	trace, err := sparexplain.Read(logs, "100.64.0.12:1025")
+//	for _, line := range trace {
 //		fmt.Println(line)
 //	}
 //
-// Lines that are no JSON objects of a VM are passed over.
+// Lines that are not JSON objects logged by a VM are skipped.
 package sparexplain
 
 import (
@@ -24,8 +25,9 @@
 )
 
 const (
-	// around is the time before and after the flow's own lines that belongs to its story.
-	around = 5 * time.Second
+	// margin is how long before the first and after the last line about the flow other
+	// lines are included.
+	margin = 5 * time.Second
 
 	maxLine = 1 << 20
 )
@@ -39,19 +41,19 @@
 		Fields  map[string]any
 	}
 
-	// Story is the lines that explain a flow, in order of time.
-	Story []Line
+	// Trace is the lines that explain a flow, in order of time.
+	Trace []Line
 )
 
-// shown are the fields that a line begins with; the others follow in order of name.
-var shown = []string{"flow", "do", "cause", "upstream"}
+// firstFields are printed first in a line; the others follow sorted by name.
+var firstFields = []string{"flow", "do", "cause", "upstream"}
 
-// ErrNoLine is the cause where no log tells of the flow.
-const ErrNoLine = errors.ConstError("no line of the flow")
+// ErrNoLine means that no log has a line about the flow.
+const ErrNoLine = errors.ConstError("no line about the flow")
 
-// Read returns the story of the flow with an end, "a.b.c.d:port", or with both ends as
-// the log writes them.
-func Read(logs []io.Reader, flow string) (s Story, err error) {
+// Read returns the trace of a flow. The flow is given by one endpoint, "a.b.c.d:port", or
+// by both as the log writes them.
+func Read(logs []io.Reader, flow string) (t Trace, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotatef(err, "flow %s", flow)
@@ -65,18 +67,18 @@
 		}
 		all = append(all, lines...)
 	}
-	own := slices.DeleteFunc(slices.Clone(all), func(l Line) bool { return !l.of(flow) })
+	own := slices.DeleteFunc(slices.Clone(all), func(l Line) bool { return !l.about(flow) })
 	if len(own) == 0 {
 		return nil, ErrNoLine
 	}
 	slices.SortStableFunc(own, byTime)
 	for _, l := range all {
-		if l.of(flow) || l.explains(own) {
-			s = append(s, l)
+		if l.about(flow) || l.relatedTo(own) {
+			t = append(t, l)
 		}
 	}
-	slices.SortStableFunc(s, byTime)
-	return s, nil
+	slices.SortStableFunc(t, byTime)
+	return t, nil
 }
 
 func byTime(a, b Line) int { return a.At.Compare(b.At) }
@@ -108,17 +110,18 @@
 	return s
 }
 
-// of reports whether the line tells of the flow.
-func (l Line) of(flow string) bool {
+// about reports whether the line is about the flow.
+func (l Line) about(flow string) bool {
 	text := l.text("flow")
 	from, to, _ := strings.Cut(text, ">")
 	return text != "" && (text == flow || from == flow || to == flow)
 }
 
-// explains reports whether the line tells of an upstream of the flow, or of the settings
-// and the life of a VM that the flow passed, near its own lines.
-func (l Line) explains(own []Line) bool {
-	if l.Fields["flow"] != nil || l.At.Before(own[0].At.Add(-around)) || l.At.After(own[len(own)-1].At.Add(around)) {
+// relatedTo reports whether the line is within margin of own, the lines about the flow,
+// and comes from a VM that logged one of them. It must be about the upstream of that line,
+// or about no upstream: the settings or the state of the VM.
+func (l Line) relatedTo(own []Line) bool {
+	if l.Fields["flow"] != nil || l.At.Before(own[0].At.Add(-margin)) || l.At.After(own[len(own)-1].At.Add(margin)) {
 		return false
 	}
 	return slices.ContainsFunc(own, func(o Line) bool {
@@ -134,7 +137,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s:", l.At.UTC().Format("15:04:05.000"), l.VM, l.Message)
 	names := slices.SortedFunc(maps.Keys(l.Fields), func(a, c string) int {
-		return cmp.Or(cmp.Compare(place(a), place(c)), strings.Compare(a, c))
+		return cmp.Or(cmp.Compare(position(a), position(c)), strings.Compare(a, c))
 	})
 	for _, name := range names {
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
@@ -142,10 +145,10 @@
 	return b.String()
 }
 
-// place returns the position of a field in a line.
-func place(name string) int {
-	if i := slices.Index(shown, name); i >= 0 {
+// position returns the index of a field in firstFields, or the number of them for others.
+func position(name string) int {
+	if i := slices.Index(firstFields, name); i >= 0 {
 		return i
 	}
-	return len(shown)
+	return len(firstFields)
 }
--- a/internal/operator/sparexplain/explain_test.go
+++ b/internal/operator/sparexplain/explain_test.go
@@ -24,10 +24,10 @@
 `
 )
 
-// ExampleRead tells how a flow that two VMs carried came to its end.
+// ExampleRead traces a flow that passed through two VMs and was then reset.
 func ExampleRead() {
-	story, err := sparexplain.Read([]io.Reader{strings.NewReader(second), strings.NewReader(first)}, "100.64.0.12:1025")
-	for _, line := range story {
+	trace, err := sparexplain.Read([]io.Reader{strings.NewReader(second), strings.NewReader(first)}, "100.64.0.12:1025")
+	for _, line := range trace {
 		fmt.Println(line)
 	}
 	fmt.Println(err)
--- a/internal/operator/sparstatus/status.go
+++ b/internal/operator/sparstatus/status.go
@@ -1,17 +1,17 @@
-// Package sparstatus reads what is true now and writes it as text for scripts.
+// Package sparstatus reads the current status of a deployment and formats it for scripts.
 //
-// The text, version 1, has one fact a line. The first word of a line tells a script
-// what to do: ok (go on), hold (wait), retry (not confirmed, ask again) or call (a
-// person is needed). The first line carries the most urgent word of all:
+// The text, version 1, has one fact per line. The first word of a line, the status word,
+// tells a script what to do: ok (continue), hold (wait), retry (not confirmed, query
+// again) or call (an operator must act). The first line has the most severe of them:
 //
 //	hold status 1 revision 42 answered 8 of 8 VMs
 //	ok service kalkkirinne/booking revision 42 in force everywhere
 //	hold upstream kalkkirinne/booking 10.0.1.1:8080 draining revision 42 counted 12 flows
 //	ok upstream kalkkirinne/booking 10.0.1.2:8080 serving revision 42
 //
-// A line says only what stays true once it is (a revision is in force everywhere, an
-// upstream has drained) or what this very read has counted. Nothing comes from a cache;
-// what could not be confirmed within the read is not claimed.
+// A line states either a fact that stays true (a revision is in force everywhere, an
+// upstream has drained) or a count taken during this read. Nothing is cached, and nothing
+// is stated that this read could not confirm.
 package sparstatus
 
 import (
@@ -29,38 +29,38 @@
 )
 
 const (
-	// OK says go on.
+	// OK means continue.
 	OK Word = iota
-	// Hold says wait: something is under way.
+	// Hold means wait: a change is in progress.
 	Hold
-	// Retry says ask again: something could not be confirmed.
+	// Retry means query again: a fact could not be confirmed.
 	Retry
-	// Call says call someone: something will not mend by itself.
+	// Call means that an operator must act: a fault will not recover by itself.
 	Call
 )
 
 const (
-	// Version is the version of the text.
+	// Version is the version of the text format.
 	Version = 1
-	// Wait bounds a read.
-	Wait = 900 * time.Millisecond
+	// Timeout limits a read.
+	Timeout = 900 * time.Millisecond
 )
 
 type (
-	// Word is the first word of a line. Greater words are more urgent.
+	// Word is the status word of a line. A greater word is more severe.
 	Word int
 
-	// Fact is one line, with what it claims in a form for programs.
+	// Fact is one line, with its content also in fields for programs.
 	Fact struct {
 		Word       Word
 		Text       string
 		Service    string            // team/service that the line is about, or ""
-		Everywhere uint64            // revision said to be in force everywhere, or 0
-		Drained    sparflow.Endpoint // upstream said to have drained at Revision, or 0
+		Everywhere uint64            // revision in force everywhere, or 0
+		Drained    sparflow.Endpoint // upstream that has drained at Revision, or 0
 		Revision   uint64            // of the service
 	}
 
-	// Report is a whole status. The zero Report says that nobody answered.
+	// Report is a whole status. The zero Report means that no VM responded.
 	Report struct {
 		Revision uint64
 		Answered int
@@ -74,10 +74,10 @@
 	return [...]string{"ok", "hold", "retry", "call"}[w]
 }
 
-// Read asks the VMs at control addresses at once and reports on the first survey
-// that arrives.
+// Read queries the VMs at the control addresses in parallel and reports on the first
+// survey that arrives.
 func Read(ctx context.Context, controls []string) Report {
-	ctx, cancel := context.WithTimeout(ctx, Wait)
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	replies := make(chan *sparcontrol.SurveyReply, len(controls))
 	for _, control := range controls {
@@ -91,7 +91,7 @@
 	return Report{}
 }
 
-// survey returns nil where the VM did not answer this very question.
+// survey queries one VM. It returns nil if no response with the id of the query arrives.
 func survey(ctx context.Context, control string) *sparcontrol.SurveyReply {
 	id := fmt.Sprintf("%016x", rand.Uint64())
 	client := sparcontrol.NewControlProtobufClient("http://"+control, &http.Client{})
@@ -102,20 +102,20 @@
 	return reply
 }
 
-// Word returns the most urgent word of the report.
+// Word returns the most severe status word of the report.
 func (r Report) Word() Word {
 	if r.Answered == 0 {
 		return Retry
 	}
-	worst := OK
+	most := OK
 	for _, f := range r.Facts {
-		worst = max(worst, f.Word)
+		most = max(most, f.Word)
 	}
-	return worst
+	return most
 }
 
-// Drained reports whether an upstream had drained in this read, with the document
-// at revision or a later one in force everywhere.
+// Drained reports whether this read found the upstream at an address drained, with the
+// service document of revision or a later one in force everywhere.
 func (r Report) Drained(service, at string, revision uint64) bool {
 	for _, f := range r.Facts {
 		if f.Drained != 0 && f.Service == service && f.Drained.String() == at && f.Revision >= revision {
@@ -140,33 +140,33 @@
 	return b.String()
 }
 
-// Judge turns a survey into facts.
+// Judge derives the facts from a survey.
 func Judge(s *sparcontrol.SurveyReply) Report {
-	j := judge{survey: s, whole: len(s.Silent) == 0}
+	d := deriver{survey: s, complete: len(s.Silent) == 0}
 	r := Report{Answered: len(s.Answered), Silent: slices.Sorted(slices.Values(s.Silent))}
 	for _, a := range s.Answered {
 		r.Revision = max(r.Revision, a.Revision)
 	}
-	r.Facts = append(r.Facts, j.vms(r.Silent)...)
-	r.Facts = append(r.Facts, j.platform())
-	for _, name := range j.services() {
-		r.Facts = append(r.Facts, j.service(name)...)
+	r.Facts = append(r.Facts, d.vms(r.Silent)...)
+	r.Facts = append(r.Facts, d.platform())
+	for _, name := range d.services() {
+		r.Facts = append(r.Facts, d.service(name)...)
 	}
 	return r
 }
 
-// judge derives facts from one survey.
-type judge struct {
-	survey *sparcontrol.SurveyReply
-	whole  bool // every VM expected has answered
+// deriver derives facts from one survey.
+type deriver struct {
+	survey   *sparcontrol.SurveyReply
+	complete bool // every expected VM has responded
 }
 
-func (j judge) vms(silent []string) []Fact {
+func (d deriver) vms(silent []string) []Fact {
 	var facts []Fact
 	for _, name := range silent {
 		facts = append(facts, Fact{Word: Retry, Text: "vm " + name + " unknown, did not answer"})
 	}
-	answered := slices.Clone(j.survey.Answered)
+	answered := slices.Clone(d.survey.Answered)
 	slices.SortFunc(answered, func(a, b *sparcontrol.FactsReply) int { return cmp.Compare(a.Vm.Name, b.Vm.Name) })
 	for _, a := range answered {
 		word := OK
@@ -178,9 +178,9 @@
 	return facts
 }
 
-func (j judge) platform() Fact {
+func (d deriver) platform() Fact {
 	reached := 0
-	for _, a := range j.survey.Answered {
+	for _, a := range d.survey.Answered {
 		if a.Platform {
 			reached++
 		}
@@ -191,10 +191,11 @@
 	return Fact{Word: OK, Text: fmt.Sprintf("platform answered the last call of %d VMs", reached)}
 }
 
-// services returns the names that any VM knows or refuses.
-func (j judge) services() []string {
+// services returns the sorted names of the services that at least one VM has in force or
+// has refused.
+func (d deriver) services() []string {
 	names := map[string]bool{}
-	for _, a := range j.survey.Answered {
+	for _, a := range d.survey.Answered {
 		for _, s := range a.Services {
 			names[s.Name] = true
 		}
@@ -210,35 +211,35 @@
 	return list
 }
 
-func (j judge) service(name string) []Fact {
+func (d deriver) service(name string) []Fact {
 	var facts []Fact
-	if p := j.problem(name); p != nil {
+	if p := d.problem(name); p != nil {
 		kept := "no revision is in force"
 		if p.Kept > 0 {
 			kept = fmt.Sprintf("revision %d stays", p.Kept)
 		}
 		facts = append(facts, Fact{Word: Call, Text: fmt.Sprintf("service %s revision %d refused, %s: %s", name, p.Revision, kept, p.Cause)})
 	}
-	revision, have := j.revision(name)
+	revision, n := d.revision(name)
 	if revision == 0 {
 		return facts
 	}
-	everywhere := have == len(j.survey.Answered)
+	everywhere := n == len(d.survey.Answered)
 	switch {
-	case everywhere && j.whole:
+	case everywhere && d.complete:
 		text := fmt.Sprintf("service %s revision %d in force everywhere", name, revision)
 		facts = append(facts, Fact{Word: OK, Text: text, Service: name, Everywhere: revision, Revision: revision})
 	case everywhere:
-		facts = append(facts, Fact{Word: Retry, Text: fmt.Sprintf("service %s revision %d confirmed by %d VMs, the others are unknown", name, revision, have)})
+		facts = append(facts, Fact{Word: Retry, Text: fmt.Sprintf("service %s revision %d confirmed by %d VMs, the others are unknown", name, revision, n)})
 	default:
-		facts = append(facts, Fact{Word: Hold, Text: fmt.Sprintf("service %s revision %d confirmed by %d of %d VMs", name, revision, have, len(j.survey.Answered))})
+		facts = append(facts, Fact{Word: Hold, Text: fmt.Sprintf("service %s revision %d confirmed by %d of %d VMs", name, revision, n, len(d.survey.Answered))})
 	}
-	return append(facts, j.upstreams(name, revision, everywhere)...)
+	return append(facts, d.upstreams(name, revision, everywhere)...)
 }
 
-func (j judge) problem(name string) *sparcontrol.ProblemFacts {
+func (d deriver) problem(name string) *sparcontrol.ProblemFacts {
 	var newest *sparcontrol.ProblemFacts
-	for _, a := range j.survey.Answered {
+	for _, a := range d.survey.Answered {
 		for _, p := range a.Problems {
 			if p.Service == name && (newest == nil || p.Revision > newest.Revision) {
 				newest = p
@@ -248,99 +249,99 @@
 	return newest
 }
 
-// revision returns the newest revision of a service and how many VMs have it.
-func (j judge) revision(name string) (revision uint64, have int) {
-	for _, a := range j.survey.Answered {
+// revision returns the newest revision of a service and the number of VMs that have it.
+func (d deriver) revision(name string) (revision uint64, n int) {
+	for _, a := range d.survey.Answered {
 		for _, s := range a.Services {
 			switch {
 			case s.Name != name:
 			case s.Revision > revision:
-				revision, have = s.Revision, 1
+				revision, n = s.Revision, 1
 			case s.Revision == revision:
-				have++
+				n++
 			}
 		}
 	}
-	return revision, have
+	return revision, n
 }
 
-// use sums what the VMs say about one upstream.
-type use struct {
+// upstreamSum adds up what all VMs report about one upstream.
+type upstreamSum struct {
 	at         sparflow.Endpoint
 	draining   bool
-	unrecorded bool
+	unrecorded bool // it may have flows without a record
 	flows      uint32
-	well       int
+	healthy    int // number of VMs that find it healthy
 	until      int64
 }
 
-func (j judge) upstreams(name string, revision uint64, everywhere bool) []Fact {
-	uses := map[sparflow.Endpoint]*use{}
+func (d deriver) upstreams(name string, revision uint64, everywhere bool) []Fact {
+	sums := map[sparflow.Endpoint]*upstreamSum{}
 	var order []sparflow.Endpoint
-	for _, a := range j.survey.Answered {
+	for _, a := range d.survey.Answered {
 		for _, s := range a.Services {
 			if s.Name != name || s.Revision != revision {
 				continue
 			}
 			for _, u := range s.Upstreams {
 				at := sparflow.Endpoint(u.At)
-				if uses[at] == nil {
-					uses[at] = &use{at: at}
+				if sums[at] == nil {
+					sums[at] = &upstreamSum{at: at}
 					order = append(order, at)
 				}
-				uses[at].add(u)
+				sums[at].add(u)
 			}
 		}
 	}
 	var facts []Fact
 	for _, at := range order {
-		facts = append(facts, j.upstream(name, revision, everywhere, uses[at]))
+		facts = append(facts, d.upstream(name, revision, everywhere, sums[at]))
 	}
 	return facts
 }
 
-func (u *use) add(f *sparcontrol.UpstreamFacts) {
+func (u *upstreamSum) add(f *sparcontrol.UpstreamFacts) {
 	u.draining = u.draining || f.Draining
 	u.unrecorded = u.unrecorded || f.Unrecorded
 	u.flows += f.Flows
 	u.until = f.Until
 	if f.Healthy {
-		u.well++
+		u.healthy++
 	}
 }
 
-// upstream says what is known of one upstream. That it has drained is said only where
-// every VM answered under one settled view: a flow that changes owner between two
-// answers would show as a slot that waits.
-func (j judge) upstream(name string, revision uint64, everywhere bool, u *use) Fact {
+// upstream returns the fact about one upstream. It reports the upstream as drained only
+// if every VM responded under one settled view: a flow whose owner changes between two
+// responses then shows up as a slot waiting for its handover.
+func (d deriver) upstream(name string, revision uint64, everywhere bool, u *upstreamSum) Fact {
 	head := fmt.Sprintf("upstream %s %s", name, u.at)
 	tail := fmt.Sprintf("revision %d", revision)
 	switch {
-	case u.draining && everywhere && j.whole && j.settled() && u.flows == 0 && !u.unrecorded:
+	case u.draining && everywhere && d.complete && d.settled() && u.flows == 0 && !u.unrecorded:
 		return Fact{Word: OK, Text: head + " drained " + tail, Service: name, Drained: u.at, Revision: revision}
-	case u.draining && !j.whole:
+	case u.draining && !d.complete:
 		return Fact{Word: Retry, Text: head + " draining " + tail + ", its flows are unknown"}
 	case u.draining && u.unrecorded:
-		return Fact{Word: Hold, Text: fmt.Sprintf("%s draining %s until %s, counted %d flows and maybe older ones", head, tail, at(u.until), u.flows)}
+		return Fact{Word: Hold, Text: fmt.Sprintf("%s draining %s until %s, counted %d flows and maybe older ones", head, tail, formatTime(u.until), u.flows)}
 	case u.draining:
-		return Fact{Word: Hold, Text: fmt.Sprintf("%s draining %s until %s, counted %d flows", head, tail, at(u.until), u.flows)}
-	case u.well == 0:
+		return Fact{Word: Hold, Text: fmt.Sprintf("%s draining %s until %s, counted %d flows", head, tail, formatTime(u.until), u.flows)}
+	case u.healthy == 0:
 		return Fact{Word: Call, Text: head + " failing " + tail + ", no VM got an answer to its last openings"}
 	}
 	return Fact{Word: OK, Text: head + " serving " + tail}
 }
 
-// settled reports whether all answers were given under one view and no slot waits
-// for a handover.
-func (j judge) settled() bool {
-	for _, a := range j.survey.Answered {
-		if a.View != j.survey.Answered[0].View || a.Waiting > 0 || !a.Settled {
+// settled reports whether all VMs responded under the same view, consider it settled, and
+// have no slot waiting for a handover.
+func (d deriver) settled() bool {
+	for _, a := range d.survey.Answered {
+		if a.View != d.survey.Answered[0].View || a.Waiting > 0 || !a.Settled {
 			return false
 		}
 	}
 	return true
 }
 
-func at(unix int64) string {
+func formatTime(unix int64) string {
 	return time.Unix(unix, 0).UTC().Format(time.RFC3339)
 }
--- a/internal/operator/sparwrite/write.go
+++ b/internal/operator/sparwrite/write.go
@@ -1,9 +1,9 @@
-// Package sparwrite changes service documents in the platform, below one team's path.
+// Package sparwrite changes the service documents of one team in the platform.
 //
-// Every write is validated, claims its addresses, and is a compare-and-swap on the
-// revision read. It carries an id that the document keeps, so that a writer whose
-// answer was lost reads back and knows whether its write took effect, even if
-// others followed:
+// A write validates the document, claims its addresses, and then compares and swaps on
+// the revision read before. It adds an id to the document, so that a writer that loses
+// the response can read the document back and find out whether its write took effect,
+// even if other writes followed:
 //
 //	w := sparwrite.Writer{Store: store, Team: "kalkkirinne"}
 //	revision, err := w.Set(ctx, "booking", document, 0)
@@ -32,23 +32,23 @@
 )
 
 const (
-	// ErrInvalid is the cause of a document that breaks a rule.
+	// ErrInvalid means that a name or document is not valid.
 	ErrInvalid = errors.ConstError("invalid")
-	// ErrConflict is the cause of a write that another writer came before.
+	// ErrConflict means that another writer changed the document first.
 	ErrConflict = errors.ConstError("conflict")
-	// ErrForbidden is the cause of a write to what another service holds.
+	// ErrForbidden means that another service has claimed an address of the document.
 	ErrForbidden = errors.ConstError("forbidden")
-	// ErrUnwritten is the cause of a write that never reached the platform.
+	// ErrUnwritten means that the write never reached the platform.
 	ErrUnwritten = errors.ConstError("platform unavailable, nothing written")
-	// ErrUnknown is the cause of a write whose outcome could not be read back.
+	// ErrUnknown means that the outcome of the write could not be read back.
 	ErrUnknown = errors.ConstError("outcome unknown")
-	// ErrMissing is the cause of a service or upstream that does not exist.
+	// ErrMissing means that the service or upstream does not exist.
 	ErrMissing = errors.ConstError("no such service or upstream")
 )
 
 const (
-	// Patience is how long a writer tries to learn the outcome of a write.
-	Patience = 10 * time.Second
+	// DefaultTimeout limits a write, including all attempts to find out its outcome.
+	DefaultTimeout = 10 * time.Second
 
 	retryWait  = 200 * time.Millisecond
 	drainTries = 8
@@ -56,30 +56,30 @@
 )
 
 type (
-	// Writer writes for one team.
+	// Writer changes the documents of one team.
 	Writer struct {
-		Store    sparkv.Store
-		Team     string
-		Patience time.Duration // 0 for the constant Patience
+		Store   sparkv.Store
+		Team    string
+		Timeout time.Duration // 0 means DefaultTimeout
 	}
 
-	// Held is a document as the platform holds it. Revision 0 means none.
+	// Held is a document as the platform holds it. Revision 0 means that there is none.
 	Held struct {
 		Document sparconfig.Document
 		Revision uint64
 	}
 
-	// attempt is one write until its outcome is known.
+	// attempt is a write whose outcome is not known yet.
 	attempt struct {
 		key   string
 		id    string
 		value []byte
-		base  Held
-		sent  bool // some try may have reached the platform
+		base  Held // the document that the write replaces
+		sent  bool // a swap may have reached the platform
 	}
 )
 
-// Get returns the document of a service.
+// Get returns the document of a service, or the zero Held if it does not exist.
 func (w Writer) Get(ctx context.Context, service string) (h Held, err error) {
 	key, err := w.key(service)
 	if err != nil {
@@ -92,16 +92,17 @@
 	return parse(e)
 }
 
-// List returns the names of the services of the team that are not removed.
+// List returns the names of the team's services, without the removed ones. A service
+// whose document can't be parsed is included.
 func (w Writer) List(ctx context.Context) (names []string, err error) {
 	if err := sparconfig.CheckName(w.Team); err != nil {
 		return nil, errors.WithType(err, ErrInvalid)
 	}
-	reading, err := w.Store.List(ctx, sparconfig.ServiceKey(w.Team, ""), 0)
+	list, err := w.Store.List(ctx, sparconfig.ServiceKey(w.Team, ""), 0)
 	if err != nil {
 		return nil, err
 	}
-	for _, e := range reading.Entries {
+	for _, e := range list.Entries {
 		h, err := parse(e)
 		if name, ok := sparconfig.ServiceName(e.Key); ok && (err != nil || !h.Document.Removed) {
 			names = append(names, strings.TrimPrefix(name, w.Team+"/"))
@@ -110,7 +111,8 @@
 	return names, nil
 }
 
-// Set writes the document of a service. A revision above 0 must be the one held.
+// Set writes the document of a service. A revision above 0 must be the one that the
+// platform holds.
 func (w Writer) Set(ctx context.Context, service string, d sparconfig.Document, revision uint64) (wrote uint64, err error) {
 	if _, err := d.Service(w.Team+"/"+service, 0); err != nil {
 		return 0, errors.WithType(err, ErrInvalid)
@@ -125,8 +127,8 @@
 	return w.write(ctx, service, d, base)
 }
 
-// Remove takes a service out of force. Its document stays as a record of its
-// writers.
+// Remove takes a service out of force by marking its document as removed. The document
+// stays in the platform to keep the ids of its writes.
 func (w Writer) Remove(ctx context.Context, service string) (wrote uint64, err error) {
 	base, err := w.Get(ctx, service)
 	if err != nil {
@@ -140,16 +142,16 @@
 	return w.write(ctx, service, d, base)
 }
 
-// Drain makes an upstream drain until now plus the drain time of its service, or
-// plus limit where that is above 0. It goes on where another operator changed
-// something else meanwhile.
+// Drain starts to drain an upstream until now plus limit, or plus the drain time of the
+// service if limit is not above 0. It tries again after a conflict with another writer, so
+// that both changes take effect.
 func (w Writer) Drain(ctx context.Context, service, at string, limit time.Duration, now time.Time) (wrote uint64, err error) {
 	for range drainTries {
 		base, err := w.Get(ctx, service)
 		if err != nil {
 			return 0, unwritten(err)
 		}
-		d, err := drained(base, service, at, limit, now)
+		d, err := withDrain(base, service, at, limit, now)
 		if err != nil {
 			return 0, err
 		}
@@ -161,7 +163,7 @@
 	return 0, conflict(service, 0)
 }
 
-func drained(base Held, service, at string, limit time.Duration, now time.Time) (d sparconfig.Document, err error) {
+func withDrain(base Held, service, at string, limit time.Duration, now time.Time) (d sparconfig.Document, err error) {
 	if base.Revision == 0 || base.Document.Removed {
 		return d, errors.WithType(errors.Errorf("service %s", service), ErrMissing)
 	}
@@ -179,17 +181,17 @@
 	return d, nil
 }
 
-// write claims the addresses of d and swaps it in for base.
+// write claims the addresses of d and replaces base by d.
 func (w Writer) write(ctx context.Context, service string, d sparconfig.Document, base Held) (wrote uint64, err error) {
 	key, err := w.key(service)
 	if err != nil {
 		return 0, err
 	}
-	patience := w.Patience
-	if patience == 0 {
-		patience = Patience
+	timeout := w.Timeout
+	if timeout == 0 {
+		timeout = DefaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := w.claim(ctx, service, d, base); err != nil {
 		return 0, err
@@ -197,16 +199,16 @@
 	id := newID()
 	d.Writes = base.Document.Writes
 	d = d.WithWrite(id)
-	return w.settle(ctx, &attempt{key: key, id: id, value: d.Text(), base: base})
+	return w.commit(ctx, &attempt{key: key, id: id, value: d.Text(), base: base})
 }
 
-// settle tries one write until its outcome is known. All tries swap on the same
-// revision and carry the same id, so at most one takes effect.
-func (w Writer) settle(ctx context.Context, a *attempt) (wrote uint64, err error) {
+// commit repeats a write until its outcome is known. All swaps expect the same revision
+// and carry the same id, so at most one takes effect.
+func (w Writer) commit(ctx context.Context, a *attempt) (wrote uint64, err error) {
 	for {
 		ok, err := w.Store.Swap(ctx, a.key, a.value, a.base.Revision)
 		if err == nil && !ok && !a.sent {
-			return 0, w.lost(ctx, a)
+			return 0, w.conflictOf(ctx, a)
 		}
 		a.sent = a.sent || !errors.Is(err, sparkv.ErrUnsent)
 		if a.sent {
@@ -216,13 +218,13 @@
 			}
 		}
 		if !sparring.Pause(ctx, retryWait) {
-			return 0, a.unsettled()
+			return 0, a.timeoutError()
 		}
 	}
 }
 
-// lost names the winner of a race.
-func (w Writer) lost(ctx context.Context, a *attempt) error {
+// conflictOf returns an ErrConflict with the revision that another writer has written.
+func (w Writer) conflictOf(ctx context.Context, a *attempt) error {
 	e, _, err := w.Store.Get(ctx, a.key)
 	if err != nil {
 		return conflict(a.key, 0)
@@ -230,7 +232,7 @@
 	return conflict(a.key, e.Revision)
 }
 
-// readBack learns the outcome from the document held now.
+// readBack finds out the outcome of a write from the document that the platform holds.
 func (w Writer) readBack(ctx context.Context, a *attempt) (wrote uint64, known bool, err error) {
 	e, ok, err := w.Store.Get(ctx, a.key)
 	if err != nil {
@@ -240,7 +242,7 @@
 		return 0, a.base.Revision > 0, conflict(a.key, 0)
 	}
 	if e.Revision == a.base.Revision {
-		return 0, false, nil // an earlier try may still arrive; the next swap decides
+		return 0, false, nil // an earlier swap may still arrive; the next one decides
 	}
 	h, err := parse(e)
 	if err != nil {
@@ -249,31 +251,33 @@
 	if h.Document.Wrote(a.id) {
 		return e.Revision, true, nil
 	}
-	if a.forgotten(h.Document) {
-		return 0, true, errors.WithType(errors.Errorf("%s: too many writers since, revision %d is held", a.key, e.Revision), ErrUnknown)
+	if a.idEvicted(h.Document) {
+		return 0, true, errors.WithType(errors.Errorf("%s: too many writes since then, now at revision %d", a.key, e.Revision), ErrUnknown)
 	}
 	return 0, true, conflict(a.key, e.Revision)
 }
 
-// forgotten reports whether so many writers followed that the id may have been
-// dropped: none of the ids of the base is left.
-func (a *attempt) forgotten(now sparconfig.Document) bool {
+// idEvicted reports whether so many writes followed that the document may have dropped
+// the id of a: no id of the base document is left.
+func (a *attempt) idEvicted(now sparconfig.Document) bool {
 	if len(a.base.Document.Writes) == 0 {
 		return len(now.Writes) >= sparconfig.MaxWrites
 	}
 	return !now.Wrote(a.base.Document.Writes[len(a.base.Document.Writes)-1])
 }
 
-func (a *attempt) unsettled() error {
+// timeoutError returns the error of a write that ended before its outcome was known.
+func (a *attempt) timeoutError() error {
 	if a.sent {
 		return errors.WithType(errors.Errorf("%s: write %s", a.key, a.id), ErrUnknown)
 	}
 	return errors.WithType(errors.Errorf("%s", a.key), ErrUnwritten)
 }
 
-// claim wins every address of d for the service. Claims that other services hold
-// refuse the document. A claim that the document held now does not use is renewed, for the
-// VMs release claims that rest; one without a document does no harm until they do.
+// claim claims every address of d for the service. It returns ErrForbidden if another
+// service has a claim on one of them. A claim of this service that base doesn't use is
+// renewed, because VMs release an unused claim whose revision doesn't change. A claim left
+// without a document is harmless until they release it.
 func (w Writer) claim(ctx context.Context, service string, d sparconfig.Document, base Held) error {
 	if d.Removed {
 		return nil
@@ -291,7 +295,7 @@
 	return nil
 }
 
-// claimOne wins or renews one claim. A claim in use needs no renewal.
+// claimOne creates or renews one claim. A claim in use needs no renewal.
 func (w Writer) claimOne(ctx context.Context, key, name string, used bool) error {
 	for {
 		e, held, err := w.Store.Get(ctx, key)
@@ -329,14 +333,16 @@
 	return Held{Document: d, Revision: e.Revision}, nil
 }
 
-func conflict(what string, winner uint64) error {
-	if winner == 0 {
-		return errors.WithType(errors.Errorf("%s was changed meanwhile", what), ErrConflict)
+// conflict returns an ErrConflict about a service or key. Revision 0 means unknown.
+func conflict(name string, revision uint64) error {
+	if revision == 0 {
+		return errors.WithType(errors.Errorf("%s was changed by another writer", name), ErrConflict)
 	}
-	return errors.WithType(errors.Errorf("%s is at revision %d", what, winner), ErrConflict)
+	return errors.WithType(errors.Errorf("%s is at revision %d", name, revision), ErrConflict)
 }
 
-// unwritten marks an error that happened before anything was written.
+// unwritten adds ErrUnwritten to an error that occurred before anything was written. An
+// ErrInvalid stays as it is.
 func unwritten(err error) error {
 	if errors.Is(err, ErrInvalid) {
 		return err
--- a/internal/operator/sparwrite/write_test.go
+++ b/internal/operator/sparwrite/write_test.go
@@ -18,7 +18,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/stand/sparstore"
 )
 
-// platform is a stand-in with writers for two teams.
+// platform is a fake platform with writers for two teams.
 type platform struct {
 	store *sparstore.Store
 	kalk  sparwrite.Writer
@@ -32,8 +32,8 @@
 	client := sparkv.New(strings.TrimPrefix(server.URL, "http://"))
 	return platform{
 		store: store,
-		kalk:  sparwrite.Writer{Store: client, Team: "kalkkirinne", Patience: 2 * time.Second},
-		qant:  sparwrite.Writer{Store: client, Team: "qantara", Patience: 2 * time.Second},
+		kalk:  sparwrite.Writer{Store: client, Team: "kalkkirinne", Timeout: 2 * time.Second},
+		qant:  sparwrite.Writer{Store: client, Team: "qantara", Timeout: 2 * time.Second},
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestLostResponseIsReadBack(t *testing.T) {
 	ctx := context.Background()
 	p := newPlatform(t)
 	if _, err := p.kalk.Set(ctx, "booking", document(1, 0.1), 0); err != nil {
@@ -68,13 +68,13 @@
 	p.store.Disturb(sparstore.Trouble{Lose: 1})
 	revision, err := p.kalk.Set(ctx, "booking", document(1, 0.2), 0)
 	if err != nil {
-		t.Fatalf("Set with a lost answer: %v", err)
+		t.Fatalf("Set with a lost response: %v", err)
 	}
 	assertHeld(t, p.kalk, 0.2, revision)
 }
 
-// answerHook is a Store whose first swap of a document loses its answer, after which
-// other writers follow before anything is read back.
+// answerHook is a Store that loses the response to the first swap of a document. It calls
+// after first, so that other writers can follow before the document is read back.
 type answerHook struct {
 	sparkv.Store
 	once  sync.Once
@@ -86,20 +86,20 @@
 	if strings.HasPrefix(key, sparconfig.TeamPrefix) {
 		h.once.Do(func() {
 			h.after()
-			ok, err = false, errors.New("answer lost")
+			ok, err = false, errors.New("response lost")
 		})
 	}
 	return ok, err
 }
 
-func TestLostAnswerThenMoreWriters(t *testing.T) {
+func TestLostResponseThenMoreWriters(t *testing.T) {
 	cases := []struct {
 		name    string
 		writers int
 		cause   error
 	}{
 		{"three", 3, nil},
-		{"more than the document remembers", sparconfig.MaxWrites + 1, sparwrite.ErrUnknown},
+		{"more than the document keeps ids of", sparconfig.MaxWrites + 1, sparwrite.ErrUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,8 +127,8 @@
 	}
 }
 
-func TestRacingOperators(t *testing.T) {
-	const racers = 8
+func TestConcurrentWriters(t *testing.T) {
+	const writers = 8
 	ctx := context.Background()
 	p := newPlatform(t)
 	first, err := p.kalk.Set(ctx, "booking", document(1, 0.1), 0)
@@ -138,7 +138,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	winners := map[float64]uint64{}
-	for i := range racers {
+	for i := range writers {
 		wg.Go(func() {
 			spread := 0.2 + float64(i)/100
 			revision, err := p.kalk.Set(ctx, "booking", document(1, spread), first)
@@ -149,20 +149,20 @@
 				return
 			}
 			if !errors.Is(err, sparwrite.ErrConflict) || !strings.Contains(err.Error(), "at revision") {
-				t.Errorf("loser got %v", err)
+				t.Errorf("error %v, want a conflict with a revision", err)
 			}
 		})
 	}
 	wg.Wait()
 	if len(winners) != 1 {
-		t.Fatalf("winners %v, want one", winners)
+		t.Fatalf("accepted writes %v, want one", winners)
 	}
 	for spread, revision := range winners {
 		assertHeld(t, p.kalk, spread, revision)
 	}
 }
 
-func TestPlatformTrouble(t *testing.T) {
+func TestPlatformFaults(t *testing.T) {
 	ctx := context.Background()
 	t.Run("down", func(t *testing.T) {
 		p := newPlatform(t)
@@ -170,8 +170,8 @@
 		_, err := p.kalk.Set(ctx, "booking", document(1, 0), 0)
 		assertCause(t, err, sparwrite.ErrUnwritten)
 	})
-	t.Run("nobody listens", func(t *testing.T) {
-		w := sparwrite.Writer{Store: sparkv.New("127.0.0.1:1"), Team: "kalkkirinne", Patience: time.Second}
+	t.Run("connection refused", func(t *testing.T) {
+		w := sparwrite.Writer{Store: sparkv.New("127.0.0.1:1"), Team: "kalkkirinne", Timeout: time.Second}
 		_, err := w.Set(ctx, "booking", document(1, 0), 0)
 		assertCause(t, err, sparwrite.ErrUnwritten)
 	})
@@ -200,19 +200,19 @@
 	if _, err := p.kalk.Set(ctx, "booking", document(1, 0), 0); err != nil {
 		t.Fatal(err)
 	}
-	stolen := document(2, 0)
-	stolen.Upstreams = document(1, 0).Upstreams
-	_, err := p.qant.Set(ctx, "gateway", stolen, 0)
+	d := document(2, 0)
+	d.Upstreams = document(1, 0).Upstreams
+	_, err := p.qant.Set(ctx, "gateway", d, 0)
 	assertCause(t, err, sparwrite.ErrForbidden)
 	if !strings.Contains(err.Error(), "held by kalkkirinne/booking") {
-		t.Errorf("error %q does not name the holder", err)
+		t.Errorf("error %q does not name the service with the claim", err)
 	}
 }
 
-// TestAddressTakenBackKeepsItsClaim takes an address out of a document and back in. The
-// VMs release a claim that rests at one revision, so taking it back must renew it; a claim
-// in use all along stays as it is.
-func TestAddressTakenBackKeepsItsClaim(t *testing.T) {
+// TestReaddedAddressRenewsItsClaim removes an address from a document and adds it again.
+// VMs release an unused claim whose revision doesn't change, so adding the address again
+// must renew the claim. A claim in use all the time stays as it is.
+func TestReaddedAddressRenewsItsClaim(t *testing.T) {
 	ctx := context.Background()
 	p := newPlatform(t)
 	both := document(1, 0)
@@ -234,15 +234,15 @@
 			t.Fatal(err)
 		}
 	}
-	rested, used := revision(both.Upstreams[1].At), revision(both.Upstreams[0].At)
+	unused, used := revision(both.Upstreams[1].At), revision(both.Upstreams[0].At)
 	if _, err := p.kalk.Set(ctx, "booking", both, 0); err != nil {
 		t.Fatal(err)
 	}
-	if now := revision(both.Upstreams[1].At); now == rested {
-		t.Errorf("the claim taken back rests at revision %d", now)
+	if now := revision(both.Upstreams[1].At); now == unused {
+		t.Errorf("the claim of the added address stays at revision %d", now)
 	}
 	if now := revision(both.Upstreams[0].At); now != used {
-		t.Errorf("the claim in use moved from revision %d to %d", used, now)
+		t.Errorf("the claim in use changed from revision %d to %d", used, now)
 	}
 }
 
