--- a/internal/vm/sparserver/bench_test.go
+++ b/internal/vm/sparserver/bench_test.go
@@ -17,10 +17,10 @@
 
 const (
 	benchFlows  = 256
-	benchWindow = 512 // packets under way at once
+	benchWindow = 512 // packets in flight
 )
 
-// listen opens a socket on the loopback address.
+// listen opens a UDP socket on the loopback interface.
 func listen(b *testing.B) *net.UDPConn {
 	b.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -36,9 +36,9 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// pump sends packets to a forwarder and counts what comes out at the sink, with a
-// bounded number under way.
-func pump(b *testing.B, to netip.AddrPort, source, sink *net.UDPConn, packets [][]byte) {
+// measure sends packets to a forwarder, with at most benchWindow in flight, and reports
+// the rate at which the sink receives them.
+func measure(b *testing.B, to netip.AddrPort, source, sink *net.UDPConn, packets [][]byte) {
 	b.Helper()
 	credit := make(chan struct{}, benchWindow)
 	for range benchWindow {
@@ -112,10 +112,10 @@
 		}
 	}
 	drain(sink)
-	pump(b, to, source, sink, dataPackets(sparpacket.ACK))
+	measure(b, to, source, sink, dataPackets(sparpacket.ACK))
 }
 
-// drain reads until the socket stays silent.
+// drain reads from the socket until no packet arrives for 300 ms.
 func drain(sink *net.UDPConn) {
 	buffer := make([]byte, sparpacket.MaxBytes)
 	for {
@@ -126,8 +126,8 @@
 	}
 }
 
-// BenchmarkRelay passes the same datagrams on and does nothing else: the most that
-// this machine's loopback gives to one reading and one writing call a packet.
+// BenchmarkRelay forwards the same datagrams and does nothing else. It gives the upper
+// limit of this machine's loopback interface for one read and one write call per packet.
 func BenchmarkRelay(b *testing.B) {
 	sink, source, relay := listen(b), listen(b), listen(b)
 	go func() {
@@ -140,5 +140,5 @@
 			_, _ = relay.WriteToUDPAddrPort(buffer[:n], address(sink))
 		}
 	}()
-	pump(b, address(relay), source, sink, dataPackets(sparpacket.ACK))
+	measure(b, address(relay), source, sink, dataPackets(sparpacket.ACK))
 }
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -16,21 +16,19 @@
 	"github.com/oleanderspar/oleanderspar/internal/thread/sparring"
 )
 
-const (
-	readWait = 5 * time.Second
-)
+const headerTimeout = 5 * time.Second
 
 // handler serves the twirp service Control.
 type handler struct {
 	server *Server
 }
 
-// serveHTTP is the thread that answers VMs, operators and metric collectors.
+// serveHTTP serves VMs, operators and metric collectors.
 func (s *Server) serveHTTP(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(sparcontrol.ControlPathPrefix, sparcontrol.NewControlServer(handler{server: s}))
 	mux.Handle(sparmetrics.Path, s.metrics.http)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readWait}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
@@ -46,7 +44,7 @@
 
 // Pull implements Control.
 func (h handler) Pull(ctx context.Context, r *sparcontrol.PullRequest) (*sparcontrol.PullReply, error) {
-	share, err := sparring.Ask(ctx, h.server.asks, func(s *Server) sparregistry.Share {
+	share, err := sparring.Ask(ctx, h.server.queries, func(s *Server) sparregistry.Share {
 		return s.node.Registry().Share(r.After)
 	})
 	if err != nil {
@@ -55,9 +53,9 @@
 	return &sparcontrol.PullReply{Share: sparcontrol.EncodeShare(share), Synced: share.Synced}, nil
 }
 
-// Facts implements Control. The reply carries the id of its request.
+// Facts implements Control. The reply has the id of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
-	return sparring.Ask(ctx, h.server.asks, func(s *Server) *sparcontrol.FactsReply {
+	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
 		facts := s.node.Facts()
 		facts.Id = r.Id
 		facts.Platform = s.reached
@@ -71,16 +69,16 @@
 	if err != nil {
 		return nil, err
 	}
-	targets, err := sparring.Ask(ctx, h.server.asks, func(s *Server) []sparconfig.VM { return s.node.Expected() })
+	others, err := sparring.Ask(ctx, h.server.queries, func(s *Server) []sparconfig.VM { return s.node.Expected() })
 	if err != nil {
 		return nil, err
 	}
-	return sparcontrol.AskAll(ctx, own, targets, h.server.metrics.countBytes(http.DefaultTransport)), nil
+	return sparcontrol.AskAll(ctx, own, others, h.server.metrics.countBytes(http.DefaultTransport)), nil
 }
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
-	return sparring.Ask(ctx, h.server.asks, func(s *Server) *sparcontrol.EventsReply {
+	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
 		return sparcontrol.FromEvents(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
 	})
 }
--- a/internal/vm/sparserver/metrics.go
+++ b/internal/vm/sparserver/metrics.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	udpHeader  = 28 // IPv4 and UDP, counted as control bytes beside the payload
-	httpHeader = 700
+	udpHeader  = 28  // bytes of the IPv4 and UDP headers, counted with the payload
+	httpHeader = 700 // bytes of the headers of a twirp call, counted with the body
 )
 
 // metrics holds the counts of one VM and publishes them through tally.
@@ -40,17 +40,17 @@
 	return &metrics{scope: set.Scope, closer: set, http: set.Handler, badPackets: map[string]int64{}}
 }
 
-// badPacket counts a datagram that was refused by cause.
+// badPacket counts a datagram refused by the parser, by cause.
 func (m *metrics) badPacket(err error) {
 	m.badPackets[err.Error()]++
 }
 
-// controlBytes counts a datagram to another VM.
+// controlBytes counts the bytes of a datagram of n bytes sent to another VM.
 func (m *metrics) controlBytes(n int) {
 	m.control.Add(uint64(n + udpHeader))
 }
 
-// countBytes counts what twirp calls send.
+// countBytes returns an HTTP client that counts the bytes sent by twirp calls.
 func (m *metrics) countBytes(next http.RoundTripper) *http.Client {
 	return &http.Client{Transport: roundTripper(func(r *http.Request) (*http.Response, error) {
 		m.control.Add(uint64(max(r.ContentLength, 0)) + httpHeader)
@@ -60,10 +60,10 @@
 
 type roundTripper func(r *http.Request) (*http.Response, error)
 
-// RoundTrip calls f.
+// RoundTrip implements http.RoundTripper.
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// publish brings the metrics up to date about once a second.
+// publish updates the metrics, at most once per sparmetrics.PublishEvery.
 func (m *metrics) publish(s *Server) {
 	now := time.Now()
 	if now.Sub(m.published) < sparmetrics.PublishEvery {
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -17,10 +17,10 @@
 const (
 	holdTime  = 2 * time.Second
 	holdLimit = 8192
-	headroom  = 16 // bytes kept free for the option of a redirect
+	headroom  = 16 // bytes left free for the Geneve option of a redirect
 )
 
-// heldPackets holds openings until their slot or standbys are ready.
+// heldPackets holds SYNs until the owner of their slot or its standbys are ready.
 type heldPackets struct {
 	packets map[sparflow.Key]*packet
 	since   map[sparflow.Key]time.Duration
@@ -30,7 +30,7 @@
 	return &heldPackets{packets: map[sparflow.Key]*packet{}, since: map[sparflow.Key]time.Duration{}}
 }
 
-// put holds p. It reports false where the heldPackets is full.
+// put holds p. It returns false if holdLimit is reached.
 func (h *heldPackets) put(key sparflow.Key, p *packet, now time.Duration) bool {
 	if len(h.packets) >= holdLimit {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// take returns the packet held for key, or nil.
+// take removes and returns the packet held for key, or nil.
 func (h *heldPackets) take(key sparflow.Key) *packet {
 	p := h.packets[key]
 	delete(h.packets, key)
@@ -48,7 +48,7 @@
 	return p
 }
 
-// expire drops packets whose sender has sent them again by now.
+// expire drops packets held so long that their sender has retransmitted them.
 func (h *heldPackets) expire(now time.Duration) {
 	for key, since := range h.since {
 		if now-since > holdTime {
@@ -57,8 +57,8 @@
 	}
 }
 
-// intake is the thread that reads the data socket.
-func (s *Server) intake() error {
+// readData reads the data socket.
+func (s *Server) readData() error {
 	for {
 		p := s.buffers.Get().(*packet)
 		size, from, err := s.data.ReadFromUDPAddrPort(p.buffer[:len(p.buffer)-headroom])
@@ -75,12 +75,12 @@
 	}
 }
 
-// sender is the thread that writes the data socket.
-func (s *Server) sender(ctx context.Context) error {
+// writeData writes to the data socket.
+func (s *Server) writeData(ctx context.Context) error {
 	for {
 		select {
 		case p := <-s.sends.Out():
-			_, _ = s.data.WriteToUDPAddrPort(p.buffer[:p.size], p.to) // lost packets are sent again
+			_, _ = s.data.WriteToUDPAddrPort(p.buffer[:p.size], p.to) // the ends of a flow retransmit lost packets
 			s.buffers.Put(p)
 		case <-ctx.Done():
 			return nil
@@ -88,8 +88,8 @@
 	}
 }
 
-// listen is the thread that reads the control socket.
-func (s *Server) listen() error {
+// readControl reads datagrams of other VMs from the control socket.
+func (s *Server) readControl() error {
 	buffer := make([]byte, 1<<16)
 	for {
 		size, _, err := s.control.ReadFromUDPAddrPort(buffer)
@@ -104,12 +104,12 @@
 			s.metrics.badControl.Add(1)
 			continue
 		}
-		s.inputs.Put(heard{datagram: datagram})
+		s.inputs.Put(controlInput{datagram: datagram})
 	}
 }
 
-// decideOn passes one packet on.
-func (s *Server) decideOn(p *packet) {
+// forward routes one packet, and sends, holds or drops it. It takes over p.
+func (s *Server) forward(p *packet) {
 	now, wall := s.clock()
 	s.node.Advance(now, wall)
 	v, err := s.metrics.parser.Parse(p.buffer[:p.size])
@@ -142,15 +142,15 @@
 	case sparroute.Refuse, sparroute.Abort:
 		s.send(p, sparpacket.Reset(v), 0, s.fabric)
 	case sparroute.AbortCaller:
-		s.send(p, abortCaller(v, verdict.At), 0, s.fabric)
+		s.send(p, abortClient(v, verdict.At), 0, s.fabric)
 	default:
 		s.buffers.Put(p)
 	}
 	s.perform(s.node.Drain())
 }
 
-// route picks the direction: packets for a service address come from callers, all
-// others from upstreams.
+// route returns the verdict on a packet. A packet from an upstream of a service is on its
+// way to a client, unless it is sent to a service address. All others are from clients.
 func (s *Server) route(segment sparroute.Segment) sparroute.Verdict {
 	if s.node.Snapshot().Accepts(segment.Proto, segment.To) == nil &&
 		s.node.Snapshot().Answers(segment.Proto, segment.From) != nil {
@@ -159,7 +159,7 @@
 	return s.node.Engine.Forward(segment)
 }
 
-// keep holds a copy of a packet that may have to be sent to another upstream.
+// keep holds a copy of a packet that may have to be sent again to another upstream.
 func (s *Server) keep(key sparflow.Key, p *packet, now time.Duration) {
 	c := s.buffers.Get().(*packet)
 	*c = *p
@@ -177,7 +177,8 @@
 	s.send(p, v.Inner, v.Hops+1, to)
 }
 
-// send wraps inner into a fresh buffer, for inner may alias p.
+// send sends inner to a VM or the fabric and frees p. It copies inner to a new buffer,
+// because inner may alias p.
 func (s *Server) send(p *packet, inner []byte, hops uint8, to netip.AddrPort) {
 	defer s.buffers.Put(p)
 	if inner == nil {
@@ -211,8 +212,9 @@
 	return sparroute.Data
 }
 
-// abortCaller returns a RST for the caller of a packet that a gone upstream sent.
-func abortCaller(v sparpacket.View, service sparflow.Endpoint) []byte {
+// abortClient returns a RST to the client of a flow whose removed upstream sent v, or nil
+// if v is itself a RST or not TCP.
+func abortClient(v sparpacket.View, service sparflow.Endpoint) []byte {
 	if v.Proto != sparflow.TCP || v.Resetting() {
 		return nil
 	}
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -1,16 +1,18 @@
-// Package sparserver runs one entry VM: the sockets, timers and calls around the
-// decisions of sparnode.
+// Package sparserver runs one entry VM: the sockets, timers and calls around a
+// sparnode.Node, which does no I/O.
 //
-// Each duty has a goroutine of its own, a thread, joined to the others by bounded
-// rings. One thread decides and owns all state; the others only move bytes:
+// Each task has its own goroutine, connected to the others by bounded rings. One
+// goroutine, decide, owns all state; the others only do I/O:
 //
-//	intake ──packets──▶ decide ──sends──▶ sender
-//	listener ─inputs──▶   │  ◀──asks──── twirp handlers
-//	watcher ──inputs──▶   └───pulls────▶ puller
+//	readData ─────packets──▶ decide ──sends───▶ writeData
+//	readControl ──inputs───▶   │ ◀────queries── twirp handlers
+//	watchPlatform ─inputs──▶   ├──────pulls───▶ pullSettings
+//	                           └──────sweeps──▶ releaseClaims
 //
-//	err := sparserver.Run(ctx, file, log) // returns once the VM has handed over
+//	server, err := sparserver.New(file, log)
+//	err = server.Run(ctx, abort) // returns once the VM has handed over
 //
-// The threads stop together: the first that fails ends the others.
+// The goroutines stop together: the first that fails stops the others.
 package sparserver
 
 import (
@@ -40,13 +42,13 @@
 	sendRing   = 8192
 	inputRing  = 1024
 	pullRing   = 64
-	askRing    = 64
+	queryRing  = 64
 
-	// socketQueue is the kernel's queue of a socket in bytes: the packets of a ring and
-	// as many again.
-	socketQueue  = 8 << 20
-	stopWait     = 30 * time.Second
-	forwardAfter = 2 * time.Second // keeps forwarding what the fabric still sends
+	// socketQueue is the size of the kernel's queue of a socket in bytes: room for twice
+	// the packets of a ring.
+	socketQueue     = 8 << 20
+	handoverTimeout = 30 * time.Second
+	forwardAfter    = 2 * time.Second // after the handover, for packets that the fabric still sends here
 )
 
 type (
@@ -66,17 +68,17 @@
 		inputs  *sparring.Ring[input]
 		pulls   *sparring.Ring[sparnode.Pull]
 		sweeps  *sparring.Ring[sparnode.Sweep]
-		asks    *sparring.Questions[*Server]
+		queries *sparring.Questions[*Server]
 		buffers sync.Pool
 		held    *heldPackets
 		metrics *metrics
 		fabric  netip.AddrPort
 		peers   map[string]netip.AddrPort // data address by VM name
 		watch   chan bool                 // whether this VM watches the platform
-		reached bool                      // the platform answered lately
+		reached bool                      // the last read of the platform succeeded
 	}
 
-	// packet is one datagram between threads.
+	// packet is one datagram passed between goroutines.
 	packet struct {
 		buffer [sparpacket.MaxBytes]byte
 		size   int
@@ -84,28 +86,31 @@
 		to     netip.AddrPort
 	}
 
-	// input is what other threads tell the deciding one. It is a sealed interface.
+	// input is passed by other goroutines to decide. It is a sealed interface.
 	input interface {
 		input()
 	}
 
-	heard struct {
+	// controlInput is a datagram from another VM.
+	controlInput struct {
 		datagram sparcontrol.Input
 	}
 
-	read struct {
+	// platformInput is the result of a read of the platform.
+	platformInput struct {
 		reading sparkv.Reading
 		err     error
 	}
 
-	learned struct {
+	// pullInput holds the settings pulled from another VM.
+	pullInput struct {
 		share sparregistry.Share
 	}
 )
 
-func (heard) input()   {}
-func (read) input()    {}
-func (learned) input() {}
+func (controlInput) input()  {}
+func (platformInput) input() {}
+func (pullInput) input()     {}
 
 // New opens the sockets of the VM.
 func New(file sparconfig.File, log *logrus.Logger) (s *Server, err error) {
@@ -120,7 +125,7 @@
 		node:    sparnode.New(file, uint64(began.UnixMilli()), 0, began),
 		packets: sparring.New[*packet](packetRing), sends: sparring.New[*packet](sendRing),
 		inputs: sparring.New[input](inputRing), pulls: sparring.New[sparnode.Pull](pullRing),
-		sweeps: sparring.New[sparnode.Sweep](pullRing), asks: sparring.NewQuestions[*Server](askRing), held: newHeldPackets(), metrics: newMetrics(),
+		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQuestions[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
 		fabric: netip.MustParseAddrPort(file.Fabric), peers: map[string]netip.AddrPort{},
 		watch: make(chan bool, 1),
 	}
@@ -137,25 +142,25 @@
 	return s, nil
 }
 
-// Run serves until ctx ends, then hands over and returns. A value on abort ends
-// it at once.
+// Run serves until ctx is done, then hands over its slots and returns. A value on abort
+// makes it return at once, without a handover.
 func (s *Server) Run(ctx context.Context, abort <-chan os.Signal) (err error) {
-	threads, cancel := context.WithCancel(context.Background())
+	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	group := pool.New().WithContext(threads).WithCancelOnError().WithFirstError()
-	group.Go(func(context.Context) error { return s.intake() })
-	group.Go(func(context.Context) error { return s.listen() })
-	group.Go(s.sender)
-	group.Go(s.watcher)
-	group.Go(s.puller)
-	group.Go(s.sweeper)
+	group := pool.New().WithContext(running).WithCancelOnError().WithFirstError()
+	group.Go(func(context.Context) error { return s.readData() })
+	group.Go(func(context.Context) error { return s.readControl() })
+	group.Go(s.writeData)
+	group.Go(s.watchPlatform)
+	group.Go(s.pullSettings)
+	group.Go(s.releaseClaims)
 	group.Go(s.serveHTTP)
-	group.Go(func(threads context.Context) error {
+	group.Go(func(running context.Context) error {
 		defer cancel()
-		return s.decide(threads, ctx, abort)
+		return s.decide(running, ctx, abort)
 	})
-	group.Go(func(threads context.Context) error {
-		<-threads.Done()
+	group.Go(func(running context.Context) error {
+		<-running.Done()
 		_ = s.data.Close()
 		_ = s.control.Close()
 		_ = s.web.Close()
@@ -171,14 +176,14 @@
 	return err
 }
 
-// clock returns monotonic time since the start and wall time.
+// clock returns the monotonic time since the start, and the wall time.
 func (s *Server) clock() (now time.Duration, wall time.Time) {
 	wall = time.Now()
 	return wall.Sub(s.began), wall
 }
 
-// decide is the thread that owns the node.
-func (s *Server) decide(threads, stop context.Context, abort <-chan os.Signal) error {
+// decide owns the node and all other state of the Server. It hands over once stop is done.
+func (s *Server) decide(running, stop context.Context, abort <-chan os.Signal) error {
 	ticker := time.NewTicker(sparnode.TickEvery)
 	defer ticker.Stop()
 	stopping := stop.Done()
@@ -186,16 +191,16 @@
 	for {
 		select {
 		case p := <-s.packets.Out():
-			s.decideOn(p)
+			s.forward(p)
 		case in := <-s.inputs.Out():
-			s.take(in)
-		case answer := <-s.asks.Out():
-			answer(s)
+			s.receive(in)
+		case query := <-s.queries.Out():
+			query(s)
 		case <-ticker.C:
 			s.tick()
 			switch {
 			case stopped.IsZero():
-			case drained.IsZero() && (s.node.Drained() || time.Since(stopped) > stopWait):
+			case drained.IsZero() && (s.node.Drained() || time.Since(stopped) > handoverTimeout):
 				drained = time.Now()
 			case !drained.IsZero() && time.Since(drained) > forwardAfter:
 				s.log.Info("handed over")
@@ -207,25 +212,25 @@
 			s.log.Info("handing over")
 			s.node.Stop()
 		case <-abort:
-			return errors.New("stopped at once, slots not handed over")
-		case <-threads.Done():
+			return errors.New("aborted before the slots were handed over")
+		case <-running.Done():
 			return nil
 		}
 	}
 }
 
-func (s *Server) take(in input) {
+func (s *Server) receive(in input) {
 	now, wall := s.clock()
 	s.node.Advance(now, wall)
 	switch in := in.(type) {
-	case heard:
+	case controlInput:
 		s.node.Receive(in.datagram)
-	case read:
+	case platformInput:
 		s.reached = in.err == nil
 		if in.err == nil {
 			s.node.Reading(in.reading.Entries, in.reading.Revision)
 		}
-	case learned:
+	case pullInput:
 		s.node.Merge(in.share)
 	}
 	s.perform(s.node.Drain())
@@ -235,13 +240,14 @@
 	now, wall := s.clock()
 	s.perform(s.node.Tick(now, wall))
 	s.held.expire(now)
-	s.choosePlatform(now)
+	s.updateWatch(now)
 	s.refreshPeers()
 	s.metrics.publish(s)
 }
 
-// choosePlatform tells the watcher whether this VM reads for its failure domain.
-func (s *Server) choosePlatform(now time.Duration) {
+// updateWatch notifies watchPlatform whether this VM reads the platform for its failure
+// domain.
+func (s *Server) updateWatch(now time.Duration) {
 	watches := s.node.Tracker.Watches(now)
 	select {
 	case <-s.watch:
@@ -259,7 +265,7 @@
 	}
 }
 
-// perform does what the node asks for.
+// perform carries out the outputs of the node.
 func (s *Server) perform(outs []sparnode.Output) {
 	for _, out := range outs {
 		switch out := out.(type) {
@@ -273,7 +279,7 @@
 			s.sweeps.Put(out)
 		case sparnode.Release:
 			if p := s.held.take(out.Key); p != nil {
-				s.decideOn(p)
+				s.forward(p)
 			}
 		}
 	}
--- a/internal/vm/sparserver/threads.go
+++ b/internal/vm/sparserver/threads.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	retryFirst  = 250 * time.Millisecond
-	retryLast   = 2 * time.Second
+	retryMin    = 250 * time.Millisecond
+	retryMax    = 2 * time.Second
 	idleCheck   = 200 * time.Millisecond
 	pullTimeout = 1500 * time.Millisecond
 )
 
-// watcher is the thread that reads the platform while this VM is one of the two
-// that do so for their failure domain. A watch that stays silent past its
-// deadline ends with an error and is made anew.
-func (s *Server) watcher(ctx context.Context) error {
+// watchPlatform reads the platform while this VM is one of the two that do so for their
+// failure domain. A watch without a response before its deadline ends with an error, and
+// a new one is started.
+func (s *Server) watchPlatform(ctx context.Context) error {
 	watching := true
 	after := uint64(0)
-	retry := retryFirst
+	retry := retryMin
 	for ctx.Err() == nil {
 		select {
 		case watching = <-s.watch:
@@ -43,23 +43,23 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.inputs.Put(read{reading: reading, err: err})
+		s.inputs.Put(platformInput{reading: reading, err: err})
 		if err != nil {
-			s.log.WithError(err).Debug("platform")
+			s.log.WithError(err).Debug("reading the platform failed")
 			after = 0
-			s.askSeeds()
+			s.pullFromSeeds()
 			sparring.Pause(ctx, retry)
-			retry = min(2*retry, retryLast)
+			retry = min(2*retry, retryMax)
 			continue
 		}
-		retry = retryFirst
+		retry = retryMin
 		after = reading.Revision
 	}
 	return nil
 }
 
-// askSeeds learns settings from other VMs while the platform is out of reach.
-func (s *Server) askSeeds() {
+// pullFromSeeds requests the settings from other VMs while the platform is unreachable.
+func (s *Server) pullFromSeeds() {
 	for _, seed := range s.file.Seeds {
 		if seed != s.file.Control {
 			s.pulls.Put(sparnode.Pull{From: sparconfig.VM{Control: seed}})
@@ -67,30 +67,30 @@
 	}
 }
 
-// puller is the thread that fetches settings from other VMs.
-func (s *Server) puller(ctx context.Context) error {
+// pullSettings pulls settings from other VMs.
+func (s *Server) pullSettings(ctx context.Context) error {
 	for {
 		select {
 		case pull := <-s.pulls.Out():
 			share, err := s.pull(ctx, pull)
 			if err != nil {
-				s.log.WithError(err).Debug("pull")
+				s.log.WithError(err).Debug("pulling settings failed")
 				continue
 			}
-			s.inputs.Put(learned{share: share})
+			s.inputs.Put(pullInput{share: share})
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// sweeper is the thread that releases claims in the platform.
-func (s *Server) sweeper(ctx context.Context) error {
+// releaseClaims deletes unused claims in the platform.
+func (s *Server) releaseClaims(ctx context.Context) error {
 	for {
 		select {
 		case sweep := <-s.sweeps.Out():
 			if _, err := s.store.Delete(ctx, sweep.Key, sweep.Revision); err != nil {
-				s.log.WithError(err).Debug("release of a claim") // tried again later
+				s.log.WithError(err).Debug("releasing a claim failed") // retried later
 			}
 		case <-ctx.Done():
 			return nil
