--- a/internal/event/spartimeline/timeline.go
+++ b/internal/event/spartimeline/timeline.go
@@ -1,14 +1,15 @@
-// Package spartimeline records what a VM did, in an order that holds across VMs.
+// Package spartimeline records the events of a VM in an order that is consistent across
+// VMs.
 //
-// Events carry a hybrid logical clock: physical milliseconds with a counter, moved
-// forward by every stamp that arrives from another VM. An event that caused
-// another has the smaller stamp, whatever the clocks of the VMs say:
+// Events are stamped by a hybrid logical clock: physical milliseconds and a counter, moved
+// forward by every stamp received from another VM. An event that caused another has the
+// smaller stamp, even if the clocks of the VMs differ:
 //
 //	var clock spartimeline.Clock
 //	clock.Observe(stampFromPeer)
 //	stamp := clock.Next(time.Now())
 //
-// A Ring keeps the last events of one VM; Merge orders the events of several.
+// A Ring keeps the latest events of one VM; Merge orders the events of several.
 package spartimeline
 
 import (
@@ -25,7 +26,7 @@
 )
 
 type (
-	// Stamp is a reading of a hybrid logical clock: Unix milliseconds << 16 | counter.
+	// Stamp is a time of a hybrid logical clock: Unix milliseconds << 16 | counter.
 	Stamp uint64
 
 	// Clock is a hybrid logical clock. The zero Clock is ready.
@@ -33,7 +34,7 @@
 		last Stamp
 	}
 
-	// Event is something that one VM did.
+	// Event is one entry of a time line.
 	Event struct {
 		At      Stamp
 		VM      string
@@ -43,7 +44,7 @@
 		Count   int
 	}
 
-	// Ring keeps the last events. Use NewRing.
+	// Ring is a ring buffer of the latest events. Use NewRing.
 	Ring struct {
 		events []Event
 		next   int
@@ -51,21 +52,22 @@
 	}
 )
 
-// Next returns a stamp above all earlier ones. wall is the time of this VM's clock.
+// Next returns a stamp above all earlier ones. wall is the time of the VM's own clock.
 func (c *Clock) Next(wall time.Time) Stamp {
 	c.last = max(c.last+1, At(wall))
 	return c.last
 }
 
-// Observe moves the clock past a stamp of another VM.
+// Observe moves the clock forward to a stamp received from another VM, so that later
+// stamps are above it.
 func (c *Clock) Observe(s Stamp) {
 	c.last = max(c.last, s)
 }
 
-// Last returns the highest stamp seen.
+// Last returns the highest stamp returned or observed.
 func (c *Clock) Last() Stamp { return c.last }
 
-// At returns the first stamp of a time.
+// At returns the lowest stamp of the millisecond of t.
 func At(t time.Time) Stamp {
 	return Stamp(max(t.UnixMilli(), 0)) << counterBits
 }
@@ -80,12 +82,12 @@
 	return fmt.Sprintf("%s+%d", s.Time().Format("2006-01-02T15:04:05.000Z"), s&(1<<counterBits-1))
 }
 
-// NewRing returns a ring of the last size events.
+// NewRing returns a ring for size events.
 func NewRing(size int) *Ring {
 	return &Ring{events: make([]Event, size)}
 }
 
-// Add records an event over the oldest one.
+// Add records an event, which replaces the oldest one if the ring is full.
 func (r *Ring) Add(e Event) {
 	r.events[r.next] = e
 	r.next = (r.next + 1) % len(r.events)
--- a/internal/event/spartimeline/timeline_test.go
+++ b/internal/event/spartimeline/timeline_test.go
@@ -8,7 +8,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/event/spartimeline"
 )
 
-// ExampleClock orders a cause before its effect on a VM whose clock is an hour late.
+// ExampleClock orders a cause before its effect on a VM whose clock is an hour behind.
 func ExampleClock() {
 	var here, there spartimeline.Clock
 	noon := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
@@ -19,7 +19,7 @@
 	// Output: true
 }
 
-func TestRingKeepsTheLast(t *testing.T) {
+func TestRingKeepsLatest(t *testing.T) {
 	r := spartimeline.NewRing(3)
 	for i := range 5 {
 		r.Add(spartimeline.Event{At: spartimeline.Stamp(i)})
--- a/internal/platform/sparkv/answers_test.go
+++ b/internal/platform/sparkv/answers_test.go
@@ -10,18 +10,19 @@
 	"github.com/oleanderspar/oleanderspar/internal/platform/sparkv"
 )
 
-// TestSecondCopyOfAnAnswer is a service that sends the last answer of a connection once
-// more before the next one. Every second write is refused, and must be told so.
-func TestSecondCopyOfAnAnswer(t *testing.T) {
+// TestDuplicatedResponse runs a service that repeats the last response on a connection
+// before it sends the next one. The service refuses every second write, and the client
+// must not report such a write as done.
+func TestDuplicatedResponse(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	answers := make(chan string, 6)
+	bodies := make(chan string, 6)
 	for range 3 {
-		answers <- "true"
-		answers <- "false"
+		bodies <- "true"
+		bodies <- "false"
 	}
 	go func() {
 		for {
@@ -29,7 +30,7 @@
 			if err != nil {
 				return // the test has ended
 			}
-			go copyAnswers(c, answers)
+			go duplicateResponses(c, bodies)
 		}
 	}()
 	client := sparkv.New(listener.Addr().String())
@@ -42,19 +43,19 @@
 	}
 }
 
-func copyAnswers(c net.Conn, answers <-chan string) {
+func duplicateResponses(c net.Conn, bodies <-chan string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
-	copied := ""
+	last := ""
 	for {
 		if _, err := http.ReadRequest(r); err != nil {
-			return // the client has gone
+			return // the client closed the connection
 		}
-		body := <-answers
+		body := <-bodies
 		next := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		if _, err := fmt.Fprint(c, copied, next); err != nil {
+		if _, err := fmt.Fprint(c, last, next); err != nil {
 			return
 		}
-		copied = next
+		last = next
 	}
 }
--- a/internal/platform/sparkv/kv.go
+++ b/internal/platform/sparkv/kv.go
@@ -1,15 +1,15 @@
-// Package sparkv talks to the platform's key-value service.
+// Package sparkv is a client of the platform's key-value service.
 //
-// The service speaks the HTTP interface of the Consul KV store: compare-and-swap
-// by ModifyIndex, blocking queries as watches, sessions as leases. Each call has a
-// connection and a deadline of its own.
+// The service has the HTTP interface of the Consul KV store: compare-and-swap by
+// ModifyIndex, blocking queries as watches, sessions as leases. Each call has its own
+// connection and deadline.
 //
 //	client := sparkv.New("127.0.0.1:8500")
 //	reading, err := client.List(ctx, "", 0)
 //	ok, err := client.Swap(ctx, "team/a/services/b", document, revision)
 //
-// An error of Swap leaves open whether the write took effect; ErrUnsent says that
-// it certainly did not.
+// After an error of Swap the write may or may not have taken effect. With ErrUnsent it has
+// not.
 package sparkv
 
 import (
@@ -31,37 +31,37 @@
 )
 
 const (
-	// Root is the prefix of every key of this product.
+	// Root is the prefix of all keys of oleanderspar.
 	Root = "oleanderspar/"
 	// WatchWait is how long a watch waits for a change.
 	WatchWait = 5 * time.Second
-	// CallTimeout bounds a call that does not wait.
+	// CallTimeout limits a call other than a watch.
 	CallTimeout = 2 * time.Second
 
-	watchSlack = 2 * time.Second
-	dialWait   = time.Second
-	maxBody    = 64 << 20
-	indexField = "X-Consul-Index"
+	watchSlack  = 2 * time.Second // added to WatchWait for the timeout of a watch
+	dialTimeout = time.Second
+	maxBody     = 64 << 20 // bytes of a response body
+	indexHeader = "X-Consul-Index"
 )
 
-// ErrUnsent is the cause of a call that never reached the service.
+// ErrUnsent means that a call never reached the service.
 const ErrUnsent = errors.ConstError("platform unavailable, nothing was sent")
 
 type (
-	// Store is what the product needs of the platform.
+	// Store is the interface to the platform's key-value service.
 	Store interface {
-		// List returns all entries under prefix. With after above 0 it waits up to
-		// WatchWait for a revision above it.
+		// List returns all entries under prefix. If after is above 0 it waits up to
+		// WatchWait for a revision above after.
 		List(ctx context.Context, prefix string, after uint64) (Reading, error)
-		// Get returns one entry; ok is false where the key does not exist.
+		// Get returns one entry; ok is false if the key does not exist.
 		Get(ctx context.Context, key string) (e sparregistry.Entry, ok bool, err error)
-		// Swap writes value if the key is still at revision, 0 meaning absent.
+		// Swap writes value if the key is still at revision; 0 means that it is absent.
 		Swap(ctx context.Context, key string, value []byte, revision uint64) (ok bool, err error)
 		// Delete removes the key if it is still at revision.
 		Delete(ctx context.Context, key string, revision uint64) (ok bool, err error)
 	}
 
-	// Reading is the state of a prefix at one revision.
+	// Reading holds the entries under a prefix at one revision.
 	Reading struct {
 		Entries  []sparregistry.Entry
 		Revision uint64
@@ -83,7 +83,7 @@
 
 // New returns a client for the service at an IP address and port.
 func New(address string) *Client {
-	dialer := &net.Dialer{Timeout: dialWait}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
 		base: "http://" + address,
 		http: &http.Client{Transport: &http.Transport{
@@ -94,17 +94,17 @@
 				}
 				return conn, nil
 			},
-			// Answers name no call. On a connection in use again, a late copy of one would
-			// be taken for the answer to the next call, and a write for done.
+			// A response doesn't identify its call. On a reused connection, a late duplicate
+			// would be read as the response to the next call, and a failed write as done.
 			DisableKeepAlives: true,
 		}},
 	}
 }
 
-// Calls returns the number of calls made, each watch counting as one.
+// Calls returns the number of calls made. A watch counts as one.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // List implements Store.
@@ -121,8 +121,8 @@
 	if err != nil {
 		return Reading{}, err
 	}
-	if r.Revision, err = strconv.ParseUint(header.Get(indexField), 10, 64); err != nil {
-		return Reading{}, errors.Annotate(err, indexField)
+	if r.Revision, err = strconv.ParseUint(header.Get(indexHeader), 10, 64); err != nil {
+		return Reading{}, errors.Annotate(err, indexHeader)
 	}
 	if status == http.StatusNotFound {
 		return r, nil
--- a/internal/thread/sparring/pause.go
+++ b/internal/thread/sparring/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for d. It reports false where ctx ended first.
+// Pause waits for d. It returns false if ctx is done first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/thread/sparring/questions.go
+++ b/internal/thread/sparring/questions.go
@@ -6,28 +6,29 @@
 	"github.com/juju/errors"
 )
 
-// Questions are put to the thread that owns a state of type S. It takes them from Out
-// and calls each with the state. Use NewQuestions.
+// Questions is a queue of queries to the goroutine that owns a state of type S. That
+// goroutine takes them from Out and calls each with the state. Use NewQuestions.
 type Questions[S any] struct {
 	ring *Ring[func(S)]
 }
 
-// NewQuestions returns room for size questions at a time.
+// NewQuestions returns a queue for size queries.
 func NewQuestions[S any](size int) *Questions[S] {
 	return &Questions[S]{ring: New[func(S)](size)}
 }
 
-// Out returns the end to take questions from.
+// Out returns the channel from which to take the queries.
 func (q *Questions[S]) Out() <-chan func(S) { return q.ring.Out() }
 
-// Refused returns the number of questions that found no room.
+// Refused returns the number of queries refused because the queue was full.
 func (q *Questions[S]) Refused() uint64 { return q.ring.Refused() }
 
-// Ask puts a question and waits for the reply.
+// Ask queues a query and waits for its reply. It returns an error if the queue is full or
+// ctx is done first.
 func Ask[S, T any](ctx context.Context, q *Questions[S], query func(S) T) (reply T, err error) {
 	replies := make(chan T, 1)
 	if !q.ring.Put(func(s S) { replies <- query(s) }) {
-		return reply, errors.New("too many questions at once")
+		return reply, errors.New("query queue is full")
 	}
 	select {
 	case reply = <-replies:
--- a/internal/thread/sparring/questions_test.go
+++ b/internal/thread/sparring/questions_test.go
@@ -8,7 +8,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/thread/sparring"
 )
 
-// ExampleAsk asks the thread that owns a map for a value.
+// ExampleAsk queries a value from the goroutine that owns a map.
 func ExampleAsk() {
 	q := sparring.NewQuestions[map[string]int](1)
 	go func() { (<-q.Out())(map[string]int{"a": 7}) }()
@@ -16,15 +16,15 @@
 	// Output: 7 <nil>
 }
 
-func TestAskEndsWithItsContext(t *testing.T) {
+func TestAskReturnsWhenContextIsDone(t *testing.T) {
 	q := sparring.NewQuestions[int](1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	same := func(n int) int { return n }
-	if _, err := sparring.Ask(ctx, q, same); err == nil {
-		t.Error("an answer that nobody gave")
+	identity := func(n int) int { return n }
+	if _, err := sparring.Ask(ctx, q, identity); err == nil {
+		t.Error("no error, but no goroutine has replied")
 	}
-	if _, err := sparring.Ask(t.Context(), q, same); err == nil || q.Refused() != 1 {
-		t.Errorf("error %v, %d refused, want the second question to find no room", err, q.Refused())
+	if _, err := sparring.Ask(t.Context(), q, identity); err == nil || q.Refused() != 1 {
+		t.Errorf("error %v, %d refused, want the second query to be refused", err, q.Refused())
 	}
 }
--- a/internal/thread/sparring/ring.go
+++ b/internal/thread/sparring/ring.go
@@ -1,8 +1,8 @@
-// Package sparring joins threads by bounded rings.
+// Package sparring connects goroutines by bounded queues, called rings.
 //
-// A thread is a goroutine with one duty. It takes work from the ring before it and
-// puts results into the ring behind it; a full ring refuses, so that overload is
-// counted where it arises instead of growing memory:
+// Each goroutine does one task: it takes items from one ring and puts results into the
+// next. A full ring refuses items, so that overload is counted where it occurs and does
+// not use up memory:
 //
 //	r := sparring.New[int](64)
 //	if !r.Put(1) {
@@ -13,18 +13,18 @@
 
 import "sync/atomic"
 
-// Ring is a bounded queue between threads. Use New.
+// Ring is a bounded queue between goroutines. Use New.
 type Ring[T any] struct {
 	items   chan T
 	refused atomic.Uint64
 }
 
-// New returns a ring for at most size items.
+// New returns a ring for size items.
 func New[T any](size int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, size)}
 }
 
-// Put adds an item. It reports false where the ring is full.
+// Put adds an item. It returns false, without waiting, if the ring is full.
 func (r *Ring[T]) Put(item T) bool {
 	select {
 	case r.items <- item:
@@ -35,8 +35,8 @@
 	}
 }
 
-// Out returns the end to take from.
+// Out returns the channel from which to take the items.
 func (r *Ring[T]) Out() <-chan T { return r.items }
 
-// Refused returns the number of items that found the ring full.
+// Refused returns the number of items refused because the ring was full.
 func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
--- a/internal/thread/sparsocket/socket.go
+++ b/internal/thread/sparsocket/socket.go
@@ -1,10 +1,10 @@
-// Package sparsocket opens the datagram sockets of a VM.
+// Package sparsocket opens the UDP sockets of a VM.
 //
-// The kernel queues datagrams while the thread that reads them is not running; what
-// does not fit is lost without a sign:
+// The kernel queues datagrams while the goroutine that reads them is not running. It drops
+// those that don't fit into the queue without any error, so the size of the queue is given:
 //
 //	conn, err := sparsocket.Listen("10.1.0.10:8172", 4<<20)
-//	go intake(conn)
+//	go readData(conn)
 package sparsocket
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/juju/errors"
 )
 
-// Listen opens a UDP socket at an IPv4 address and port. It asks the kernel for queues
-// of the given number of bytes in each direction, which may be cut to the system's limit.
+// Listen opens a UDP socket at an IPv4 address and port. It requests a queue of the given
+// number of bytes in each direction; the kernel may reduce it to the system's limit.
 func Listen(address string, queue int) (conn *net.UDPConn, err error) {
 	defer func() { err = errors.Annotatef(err, "socket %s", address) }()
 	at, err := netip.ParseAddrPort(address)
@@ -26,7 +26,8 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(queue)  // a smaller queue loses more under load, no more
-	_ = conn.SetWriteBuffer(queue) // the same
+	// An error isn't fatal: a smaller queue only drops more datagrams under load.
+	_ = conn.SetReadBuffer(queue)
+	_ = conn.SetWriteBuffer(queue)
 	return conn, nil
 }
--- a/internal/thread/sparsocket/socket_test.go
+++ b/internal/thread/sparsocket/socket_test.go
@@ -8,7 +8,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/thread/sparsocket"
 )
 
-// ExampleListen opens a socket at a port of the kernel's choice.
+// ExampleListen opens a socket at a port chosen by the kernel.
 func ExampleListen() {
 	conn, err := sparsocket.Listen("127.0.0.1:0", 1<<16)
 	fmt.Println(strings.HasPrefix(conn.LocalAddr().String(), "127.0.0.1:"), err, conn.Close())
--- a/internal/wire/sparpacket/build.go
+++ b/internal/wire/sparpacket/build.go
@@ -13,7 +13,7 @@
 const (
 	// SYN opens a TCP flow.
 	SYN = flagSYN
-	// ACK acknowledges.
+	// ACK acknowledges data or a SYN.
 	ACK = flagACK
 	// FIN closes one half of a TCP flow.
 	FIN = flagFIN
@@ -61,8 +61,8 @@
 	return buffer.Bytes()
 }
 
-// Reset returns the RST that RFC 9293 section 3.10.7.1 sends in answer to v when
-// no connection exists, or nil where v is itself a RST or not TCP.
+// Reset returns the RST that RFC 9293 section 3.10.7.1 requires as the response to v if
+// there is no connection, or nil if v is itself a RST or not TCP.
 func Reset(v View) []byte {
 	if v.Proto != sparflow.TCP || v.Resetting() {
 		return nil
@@ -87,7 +87,7 @@
 	return ip
 }
 
-// must panics on errors that only a wrong program can cause.
+// must panics on errors that only a programming error can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/wire/sparpacket/packet.go
+++ b/internal/wire/sparpacket/packet.go
@@ -1,20 +1,20 @@
-// Package sparpacket reads and rewrites the packets that the fabric hands over.
+// Package sparpacket parses and rewrites the packets received from the fabric.
 //
-// A datagram on the data socket is Geneve (RFC 8926) around an IPv4 packet with
-// TCP or UDP inside. A Parser turns it into a View, whose Inner bytes can be
-// rewritten in place and wrapped again:
+// A datagram on the data socket is an IPv4 packet with TCP or UDP, encapsulated in Geneve
+// (RFC 8926). A Parser turns it into a View, whose Inner bytes can be rewritten in place
+// and encapsulated again:
 //
 //	var parser sparpacket.Parser
 //	view, err := parser.Parse(datagram)
 //	if err != nil {
-//		drops.Count(sparpacket.Cause(err))
+//		refused[err.Error()]++
 //		return
 //	}
 //	view.RewriteTarget(upstream)
 //	datagram = sparpacket.Wrap(datagram[:0], view.Inner, 0)
 //
-// Checksums are updated incrementally (RFC 1624), so a packet that arrived
-// damaged leaves damaged and is refused by its receiver.
+// Checksums are updated incrementally (RFC 1624), so a packet received with a wrong
+// checksum is also sent with a wrong one, and its receiver refuses it.
 package sparpacket
 
 import (
@@ -27,12 +27,12 @@
 )
 
 const (
-	// MaxBytes bounds a datagram, outer Geneve header and options included.
+	// MaxBytes is the largest size of a datagram, with its Geneve header and options.
 	MaxBytes = 2048
 
 	geneveBytes  = 8
 	optionBytes  = 8
-	optionClass  = 0xFF51 // from the range for experiments, RFC 8926 section 7
+	optionClass  = 0xFF51 // in the experimental range, RFC 8926 section 7
 	optionType   = 1
 	optionHeader = 4
 	geneveIPv4   = 0x0800
@@ -53,22 +53,22 @@
 )
 
 const (
-	// BadGeneve is the cause of a datagram whose Geneve header is short, of another
-	// version or not around IPv4.
+	// BadGeneve means that the Geneve header is truncated or of another version, has an
+	// unknown critical option, or is not followed by IPv4.
 	BadGeneve ParseError = "bad-geneve"
-	// BadIP is the cause of an inner packet that is not whole IPv4.
+	// BadIP means that the inner packet is not a complete IPv4 packet.
 	BadIP ParseError = "bad-ip"
-	// Fragment is the cause of an inner fragment, which has no ports to route by.
+	// Fragment means that the inner packet is a fragment, which has no ports to route by.
 	Fragment ParseError = "fragment"
-	// BadTransport is the cause of an inner packet that is not whole TCP or UDP.
+	// BadTransport means that the inner packet has no complete TCP or UDP header.
 	BadTransport ParseError = "bad-transport"
 )
 
 type (
-	// ParseError says why a datagram was refused. Its text is a metric label.
+	// ParseError is the cause of a refused datagram. Its text is a metric label.
 	ParseError string
 
-	// Parser holds the scratch layers of one reading goroutine.
+	// Parser holds layers that are reused for each packet. It serves one goroutine.
 	Parser struct {
 		ip  layers.IPv4
 		tcp layers.TCP
@@ -91,10 +91,10 @@
 	}
 )
 
-// Error returns the cause.
+// Error implements error.
 func (e ParseError) Error() string { return string(e) }
 
-// Parse reads a datagram. The error is a ParseError.
+// Parse parses a datagram. The error is a ParseError.
 func (p *Parser) Parse(datagram []byte) (v View, err error) {
 	if len(datagram) < geneveBytes || datagram[0]>>6 != 0 {
 		return View{}, BadGeneve
@@ -115,8 +115,8 @@
 	return v, err
 }
 
-// readHops walks the options. An unknown critical option must not be ignored
-// (RFC 8926 section 3.5), so it refuses the datagram.
+// readHops returns the number of redirects from the options. It returns an error for an
+// unknown critical option, which must not be ignored (RFC 8926 section 3.5).
 func readHops(options []byte) (hops uint8, err error) {
 	for len(options) > 0 {
 		if len(options) < optionHeader {
@@ -138,7 +138,7 @@
 	return hops, nil
 }
 
-// ParseInner reads a bare IPv4 packet.
+// ParseInner parses an IPv4 packet without Geneve. The error is a ParseError.
 func (p *Parser) ParseInner(inner []byte) (v View, err error) {
 	if len(inner) < minimumIPv4 || inner[0]>>4 != 4 {
 		return View{}, BadIP
@@ -185,23 +185,23 @@
 	return v, nil
 }
 
-// Opening reports whether the packet opens a TCP flow: SYN without ACK.
+// Opening reports whether the packet is a TCP SYN without ACK, which opens a flow.
 func (v View) Opening() bool { return v.Flags&(flagSYN|flagACK) == flagSYN }
 
-// Accepting reports whether the packet answers an opening: SYN and ACK.
+// Accepting reports whether the packet is a TCP SYN with ACK, which accepts a flow.
 func (v View) Accepting() bool { return v.Flags&(flagSYN|flagACK) == flagSYN|flagACK }
 
-// Finishing reports whether the sender closes its half of a TCP flow.
+// Finishing reports whether the packet is a TCP FIN, which closes one half of a flow.
 func (v View) Finishing() bool { return v.Flags&flagFIN != 0 }
 
-// Resetting reports whether the packet aborts a TCP flow.
+// Resetting reports whether the packet is a TCP RST, which aborts a flow.
 func (v View) Resetting() bool { return v.Flags&flagRST != 0 }
 
 // Data returns the transport payload.
 func (v View) Data() []byte { return v.Inner[v.Payload:] }
 
-// StripData cuts the payload off an opening, so that a refused opening has
-// delivered nothing to an upstream.
+// StripData removes the payload of a SYN, so that a flow refused later has delivered
+// nothing to an upstream.
 func (v *View) StripData() {
 	if v.Payload == len(v.Inner) {
 		return
@@ -240,7 +240,7 @@
 	copy(ip, newIP[:])
 	binary.BigEndian.PutUint16(port, e.Port())
 
-	patchIP(v.Inner[offsetIPSum:], oldIP, newIP)
+	updateSumIP(v.Inner[offsetIPSum:], oldIP, newIP)
 	sumAt := v.transport + offsetTCPSum
 	if v.Proto == sparflow.UDP {
 		sumAt = v.transport + offsetUDPSum
@@ -249,25 +249,25 @@
 	if v.Proto == sparflow.UDP && binary.BigEndian.Uint16(sum) == 0 {
 		return // the sender computed no checksum
 	}
-	patchIP(sum, oldIP, newIP)
-	patch(sum, oldPort, e.Port())
+	updateSumIP(sum, oldIP, newIP)
+	updateSum(sum, oldPort, e.Port())
 }
 
-func patchIP(sum []byte, from, to [4]byte) {
-	patch(sum, binary.BigEndian.Uint16(from[:2]), binary.BigEndian.Uint16(to[:2]))
-	patch(sum, binary.BigEndian.Uint16(from[2:]), binary.BigEndian.Uint16(to[2:]))
+func updateSumIP(sum []byte, from, to [4]byte) {
+	updateSum(sum, binary.BigEndian.Uint16(from[:2]), binary.BigEndian.Uint16(to[:2]))
+	updateSum(sum, binary.BigEndian.Uint16(from[2:]), binary.BigEndian.Uint16(to[2:]))
 }
 
-// patch applies equation 3 of RFC 1624: HC' = ~(~HC + ~m + m').
-func patch(sum []byte, from, to uint16) {
+// updateSum updates a checksum by equation 3 of RFC 1624: HC' = ~(~HC + ~m + m').
+func updateSum(sum []byte, from, to uint16) {
 	total := uint32(^binary.BigEndian.Uint16(sum)) + uint32(^from) + uint32(to)
 	total = total&0xffff + total>>16
 	total = total&0xffff + total>>16
 	binary.BigEndian.PutUint16(sum, ^uint16(total))
 }
 
-// Wrap appends a Geneve datagram around inner to dst. A hops value above 0 marks
-// a redirect between VMs and travels in an option.
+// Wrap appends inner to dst, encapsulated in Geneve. A hops value above 0 is encoded in an
+// option and marks a redirect between VMs.
 func Wrap(dst, inner []byte, hops uint8) []byte {
 	words := byte(0)
 	if hops > 0 {
--- a/internal/wire/sparpacket/packet_test.go
+++ b/internal/wire/sparpacket/packet_test.go
@@ -8,14 +8,14 @@
 )
 
 var (
-	caller   = sparflow.MakeEndpoint(0xCB007101, 40000)
+	client   = sparflow.MakeEndpoint(0xCB007101, 40000)
 	service  = sparflow.MakeEndpoint(0xC6336401, 443)
 	upstream = sparflow.MakeEndpoint(0x0A000001, 8080)
 )
 
 func segment(proto sparflow.Proto, flags uint8, data string) sparpacket.Segment {
 	return sparpacket.Segment{
-		From: caller, To: service, Proto: proto, Flags: flags, Seq: 7, Ack: 9, Data: []byte(data),
+		From: client, To: service, Proto: proto, Flags: flags, Seq: 7, Ack: 9, Data: []byte(data),
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestOpeningLosesItsData(t *testing.T) {
+func TestStripDataOfSYN(t *testing.T) {
 	v := parse(t, sparpacket.Wrap(nil, sparpacket.Build(segment(sparflow.TCP, sparpacket.SYN, "early")), 0))
 	v.StripData()
 	if len(v.Data()) != 0 || !v.Opening() {
