--- a/internal/operator/sparevents/events.go
+++ b/internal/operator/sparevents/events.go
@@ -18,7 +18,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/peer/sparcontrol"
 )
 
-// Timeout limits a query to the VMs.
+// Timeout limits each of the two rounds of queries of Read.
 const Timeout = 900 * time.Millisecond
 
 // Timeline is the merged time line of the VMs that responded.
--- a/internal/operator/sparwrite/write.go
+++ b/internal/operator/sparwrite/write.go
@@ -1,9 +1,9 @@
 // Package sparwrite changes the service documents of one team in the platform.
 //
-// A write validates the document, claims its addresses, and then compares and swaps on
-// the revision read before. It adds an id to the document, so that a writer that loses
-// the response can read the document back and find out whether its write took effect,
-// even if other writes followed:
+// A write validates the document, claims its addresses, and then does a compare-and-swap on
+// the revision that was read. It adds an id to the document, so that a writer that loses
+// the response can read the document back and find out whether its write took effect, even
+// if other writes followed:
 //
 //	w := sparwrite.Writer{Store: store, Team: "kalkkirinne"}
 //	revision, err := w.Set(ctx, "booking", document, 0)
--- a/internal/peer/sparcontrol/codec.go
+++ b/internal/peer/sparcontrol/codec.go
@@ -86,7 +86,7 @@
 	return marshal(&Datagram{Body: &Datagram_Frame{Frame: f}})
 }
 
-// Decode decodes a datagram and checks the VM names in it.
+// Decode decodes a datagram. It returns an error if the datagram is not valid.
 func Decode(b []byte) (in Input, err error) {
 	defer func() {
 		if err != nil {
@@ -171,7 +171,7 @@
 	}
 }
 
-// convert applies to to each element. It returns nil for an empty list.
+// convert converts each element of a list. It returns nil for an empty list.
 func convert[A, B any](list []A, to func(A) B) []B {
 	if len(list) == 0 {
 		return nil
--- a/internal/peer/sparcontrol/fuzz_test.go
+++ b/internal/peer/sparcontrol/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// FuzzDecode decodes arbitrary datagrams. One that is accepted has a VM name and no
-// negative age, which would be a time in the future.
+// FuzzDecode decodes arbitrary datagrams. A notification or query that is accepted has a VM
+// name and no negative age, which would be a time in the future.
 func FuzzDecode(f *testing.F) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2"}
 	f.Add(sparcontrol.EncodeNotice(sparsync.Notice{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
--- a/internal/peer/sparcontrol/notice.go
+++ b/internal/peer/sparcontrol/notice.go
@@ -43,7 +43,7 @@
 	}}})
 }
 
-// EncodeReceipt encodes a receipt of the VM from as a datagram.
+// EncodeReceipt encodes a receipt sent by the VM from as a datagram.
 func EncodeReceipt(from sparconfig.VM) []byte {
 	return marshal(&Datagram{Body: &Datagram_Receipt{Receipt: &Receipt{From: &VM{Name: from.Name}}}})
 }
@@ -66,8 +66,8 @@
 }
 
 // ToAge converts an age in microseconds received from a peer. It returns an error above
-// maxAge: converted to a time, such an age could lie in the future and make old settings
-// look fresh.
+// maxAge: the time computed from such an age could lie in the future, and old settings
+// would look fresh.
 func ToAge(us uint64) (age time.Duration, err error) {
 	if us > uint64(maxAge.Microseconds()) {
 		return 0, errors.Errorf("an age of %d us, expected at most %s", us, maxAge)
--- a/internal/peer/sparstream/stream.go
+++ b/internal/peer/sparstream/stream.go
@@ -97,8 +97,8 @@
 	return frames
 }
 
-// Take processes a received frame. It returns the body, and true, if the frame is the
-// next in order; others are sent again by the other end.
+// Take processes a received frame. It returns the body, and true, if the frame is the next
+// in order. It drops others; the other end resends those not yet acknowledged.
 func (s *Stream[T]) Take(f Frame[T]) (body T, ok bool) {
 	if f.Pair != s.in {
 		return body, false
--- a/internal/platform/sparkv/kv.go
+++ b/internal/platform/sparkv/kv.go
@@ -95,7 +95,7 @@
 				return conn, nil
 			},
 			// A response doesn't identify its call. On a reused connection, a late duplicate
-			// would be read as the response to the next call, and a failed write as done.
+			// would be read as the response to the next call, and a refused write as done.
 			DisableKeepAlives: true,
 		}},
 	}
--- a/internal/vm/sparserver/metrics.go
+++ b/internal/vm/sparserver/metrics.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	udpHeader  = 28  // bytes of the IPv4 and UDP headers, counted with the payload
-	httpHeader = 700 // bytes of the headers of a twirp call, counted with the body
+	udpHeader  = 28  // bytes of the IPv4 and UDP headers, counted as control bytes with the payload
+	httpHeader = 700 // bytes of the headers of a twirp call, counted likewise
 )
 
 // metrics holds the counts of one VM and publishes them through tally.
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -182,7 +182,8 @@
 	return wall.Sub(s.began), wall
 }
 
-// decide owns the node and all other state of the Server. It hands over once stop is done.
+// decide runs the node, which no other goroutine may use. Once stop is done it hands over
+// the slots and returns.
 func (s *Server) decide(running, stop context.Context, abort <-chan os.Signal) error {
 	ticker := time.NewTicker(sparnode.TickEvery)
 	defer ticker.Stop()
