--- a/internal/vm/sparentry/clock.go
+++ b/internal/vm/sparentry/clock.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// clock is time since the boot of the VM. Unlike the runtime's monotonic time it goes
-// on while the VM is suspended, so that settings grow old meanwhile.
+// clock measures time with CLOCK_BOOTTIME. Unlike Go's monotonic clock it also advances
+// while the VM is suspended, so that the age of the settings includes that time.
 type clock struct {
 	began time.Duration
 }
@@ -21,12 +21,12 @@
 	return clock{began: began}, nil
 }
 
-// now returns the time since the clock was made, and a moment more, so that it is
-// never 0. The call cannot fail once it has succeeded.
+// now returns the time since the clock was created plus 1 ms, so that it is never 0.
+// The system call does not fail after it has succeeded once.
 func (c clock) now() time.Duration {
 	now, err := sinceBoot()
 	if err != nil {
-		panic(err) // newClock has made the same call
+		panic(err) // the same call succeeded in newClock
 	}
 	return now - c.began + time.Millisecond
 }
--- a/internal/vm/sparentry/control.go
+++ b/internal/vm/sparentry/control.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// changesTimeout bounds a pull of changes: some round trips, and a large change on a
-	// slow link.
+	// changesTimeout bounds a pull of changes. It covers a few round trips and the transfer
+	// of a large change over a slow link.
 	changesTimeout = 700 * time.Millisecond
-	// wholeTimeout bounds a pull of everything: that of a large fleet, beside another one.
-	wholeTimeout = 1500 * time.Millisecond
-	dialTimeout  = 500 * time.Millisecond
-	// callWait bounds the reading of a request and the writing of its answer. A peer behind
-	// a cut reads nothing, and would hold the answer in memory.
-	callWait = 5 * time.Second
-	// drainWait is how long requests that were accepted may go on once the fabric has left:
-	// a survey, which is the longest.
-	drainWait   = sparcontrol.SurveyWait + 100*time.Millisecond
-	idleWait    = time.Minute
-	maxRequest  = 1 << 16 // bytes; requests are a few dozen
-	maxDatagram = 1 << 16
+	// fullTimeout bounds a pull of all settings. It covers those of a large fleet while the
+	// peer serves a second pull.
+	fullTimeout = 1500 * time.Millisecond
+	dialTimeout = 500 * time.Millisecond
+	// requestTimeout bounds reading a request and writing its response. Without it, a peer
+	// behind a network partition would keep the response in memory.
+	requestTimeout = 5 * time.Second
+	// drainTimeout is how long accepted requests may still run once the fabric sends nothing
+	// more to this VM. It covers a survey, the longest request.
+	drainTimeout = sparcontrol.SurveyWait + 100*time.Millisecond
+	idleTimeout  = time.Minute
+	maxRequest   = 1 << 16 // bytes; a request usually has a few dozen
+	maxDatagram  = 1 << 16
 )
 
-// listen is the thread that reads the control socket.
-func (vm *VM) listen() error {
+// readControl reads datagrams from the control socket until it is closed.
+func (vm *VM) readControl() error {
 	buffer := make([]byte, maxDatagram)
 	for {
 		size, _, err := vm.control.ReadFromUDPAddrPort(buffer)
@@ -43,7 +44,7 @@
 			return err
 		}
 		if err != nil {
-			vm.metrics.unread.Add(1) // an earlier datagram was refused; the socket goes on
+			vm.metrics.unread.Add(1) // the peer of an earlier datagram refused it; the socket still works
 			continue
 		}
 		datagram, err := sparcontrol.Decode(buffer[:size])
@@ -51,15 +52,15 @@
 			vm.metrics.badControl.Add(1)
 			continue
 		}
-		vm.inputs.Put(heard{datagram: datagram}) // a lost notice is told again
+		vm.inputs.Put(received{datagram: datagram}) // a dropped notification is sent again
 	}
 }
 
-// tell sends a datagram to a peer.
-func (vm *VM) tell(to sparconfig.VM, b []byte) {
+// sendControl sends a datagram to a peer.
+func (vm *VM) sendControl(to sparconfig.VM, b []byte) {
 	addr, err := netip.ParseAddrPort(to.Control)
 	if err != nil {
-		vm.metrics.unsent.Add(1) // a peer known by name alone, until it tells its address
+		vm.metrics.unsent.Add(1) // only the name of the peer is known until it sends its address
 		return
 	}
 	vm.metrics.control.Add(uint64(len(b)))
@@ -68,45 +69,46 @@
 	}
 }
 
-// serveControl is the thread that answers VMs, operators and metric collectors.
+// serveControl serves requests of VMs, operators and metrics collectors.
 func (vm *VM) serveControl(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(sparcontrol.ControlPathPrefix, sparcontrol.NewControlServer(handler{vm: vm}, vm.hooks(ctx)))
 	mux.Handle(sparmetrics.Path, vm.metrics.set.Handler)
-	return serve(ctx, vm.web, mux, vm.ending, vm.ended)
+	return serve(ctx, vm.controlTCP, mux, vm.left, vm.drained)
 }
 
-// serveProbes is the thread that tells the fabric whether to send packets.
+// serveProbes answers the readiness probes of the fabric, which sends packets only to
+// ready VMs.
 func (vm *VM) serveProbes(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !vm.ready.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
-			vm.inputs.Put(probed{}) // one that is lost makes this VM leave later
+			vm.inputs.Put(probed{}) // if the ring is full, this VM leaves later
 		}
 	})
 	return serve(ctx, vm.probe, mux, nil, nil)
 }
 
-// serve answers requests until ctx ends. Once ending is closed it takes no more, lets those
-// that were accepted go on for a while, and closes ended.
-func serve(ctx context.Context, listener net.Listener, mux http.Handler, ending <-chan struct{}, ended chan<- struct{}) error {
+// serve serves HTTP requests until ctx ends. Once left is closed it accepts no more
+// requests, waits up to drainTimeout for those accepted to finish, and closes drained.
+func serve(ctx context.Context, listener net.Listener, mux http.Handler, left <-chan struct{}, drained chan<- struct{}) error {
 	server := &http.Server{
-		Handler: http.MaxBytesHandler(mux, maxRequest), ReadTimeout: callWait, WriteTimeout: callWait, IdleTimeout: idleWait,
+		Handler: http.MaxBytesHandler(mux, maxRequest), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: idleTimeout,
 	}
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
 		select {
-		case <-ending:
-			drain, cancel := context.WithTimeout(ctx, drainWait)
+		case <-left:
+			drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 			defer cancel()
-			_ = server.Shutdown(drain) // what takes longer is cut off below
-			close(ended)
+			_ = server.Shutdown(drainCtx) // Close below aborts requests that take longer
+			close(drained)
 			<-ctx.Done()
 		case <-ctx.Done():
 		}
-		_ = server.Close() // its listener may be closed already
+		_ = server.Close() // the listener may be closed already
 	})
 	err := server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) || ctx.Err() != nil {
@@ -115,7 +117,7 @@
 	return err
 }
 
-// puller is the thread that fetches settings from other VMs.
+// puller pulls settings from other VMs until ctx ends.
 func (vm *VM) puller(ctx context.Context) error {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext, DisableKeepAlives: true,
@@ -130,16 +132,16 @@
 	}
 }
 
-// fetch pulls settings from a peer and reads them.
+// fetch pulls settings from a peer and decodes them.
 func (vm *VM) fetch(ctx context.Context, client *http.Client, p pull) pulled {
 	timeout := changesTimeout
-	if p.ask.After == 0 {
-		timeout = wholeTimeout
+	if p.req.After == 0 {
+		timeout = fullTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	peer := sparcontrol.Dial(p.ask.From.Control, client)
-	reply, err := peer.Pull(ctx, &sparcontrol.PullRequest{After: p.ask.After, From: sparcontrol.FromVM(vm.file.VM())})
+	peer := sparcontrol.Dial(p.req.From.Control, client)
+	reply, err := peer.Pull(ctx, &sparcontrol.PullRequest{After: p.req.After, From: sparcontrol.FromVM(vm.file.VM())})
 	if err != nil || reply.Busy || !reply.Synced {
 		return pulled{pull: p, reply: reply, err: err}
 	}
@@ -147,6 +149,6 @@
 	if err != nil {
 		return pulled{pull: p, err: err}
 	}
-	share, err := sparcontrol.DecodeShare(reply.Share)
-	return pulled{pull: p, reply: reply, age: age, share: share, err: err}
+	delta, err := sparcontrol.DecodeShare(reply.Share)
+	return pulled{pull: p, reply: reply, age: age, delta: delta, err: err}
 }
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -1,16 +1,18 @@
-// Package sparentry runs one entry VM on a fabric that echoes a cookie: the sockets,
-// timers and calls around the decisions of sparcookie and sparsync.
+// Package sparentry runs one entry VM on a fabric that echoes a cookie. It provides the
+// sockets, timers and calls; sparcookie decides on packets and sparsync on reading and
+// passing on settings.
 //
-// Each duty has a goroutine of its own, a thread, joined to the others by bounded
-// rings. One thread decides and owns all state; the others only move bytes:
+// Each task runs in a goroutine of its own. Bounded rings connect the goroutines. Only the
+// event loop owns state; the other goroutines do I/O:
 //
-//	intake ──packets──▶ decide ──▶ data socket
-//	listener ─inputs──▶   │  ◀──asks──── twirp handlers
-//	reader ───inputs──▶   ├───reads──▶ reader, registrar
-//	puller ───inputs──▶   └───pulls──▶ puller
+//	readPackets ──packets─▶ eventLoop ──▶ data socket
+//	readControl ──inputs──▶   │  ◀──queries── twirp handlers
+//	platformReader inputs─▶   ├───reads───▶ platformReader
+//	platformWriter inputs─▶   ├───writes──▶ platformWriter
+//	puller ───────inputs──▶   └───pulls───▶ puller
 //
-//	vm, err := sparentry.New(file, log)
-//	err = vm.Run(ctx, reload) // returns once the fabric has left this VM
+//	vm, err := sparentry.New(file, store, log)
+//	err = vm.Run(ctx, reload) // returns once the fabric sends nothing more to this VM
 package sparentry
 
 import (
@@ -39,49 +41,50 @@
 )
 
 const (
-	// packetRing is the number of packets between intake and decision: 20 ms of 200,000
-	// a second, about what a VM passes on. Older ones are as good as lost, since
-	// their senders repeat them.
+	// packetRing is the number of packets that may wait for the event loop: 20 ms at
+	// 200,000 packets a second, about the throughput of a VM. A longer wait gains nothing,
+	// since the senders retransmit.
 	packetRing = 4096
-	// inputRing is the number of datagrams and outcomes that wait for the deciding
-	// thread: one of each VM of a large fabric that starts at once.
+	// inputRing is the number of inputs that may wait for the event loop: one from each VM
+	// of a large fabric when all of them start at once.
 	inputRing = 1024
-	// askRing is the number of questions of VMs and operators that wait.
-	askRing = 64
-	// pullRing is the number of pulls that wait: one is under way at a time, and one
-	// that is given up may be followed before its end is known.
+	// queryRing is the number of queries of VMs and operators that may wait.
+	queryRing = 64
+	// pullRing is the number of pulls that may wait. Only one runs at a time, but the next
+	// may be queued before a pull that was abandoned has returned.
 	pullRing = 16
-	// writeRing is the number of writes that wait: the listing of this VM, a large fleet's
-	// share of those that a seed lists, and as many removals as the tree has VMs below one.
+	// writeRing is the number of writes that may wait: the registration of this VM, those
+	// that one seed of a large fleet makes for other VMs, and a removal for each VM directly
+	// below this one in the notification tree.
 	writeRing = 32
 
-	// socketQueue is the kernel's queue of a socket in bytes: the packets of a ring at
-	// their usual size.
-	socketQueue = 4 << 20
+	// socketBuffer is the size of a socket's kernel buffer in bytes: the packets of a ring
+	// at their usual size.
+	socketBuffer = 4 << 20
 
-	// tickEvery is how often time is acted on: a fraction of the 200 ms after which
-	// a caller repeats a packet.
+	// tickEvery is the interval of the event loop's timer: a fraction of the 200 ms after
+	// which a client retransmits a packet.
 	tickEvery = 50 * time.Millisecond
-	// startTick is the same while a VM has no settings, so that none of its waits is longer
-	// than it need be.
+	// startTick is the interval until the VM has settings. It is shorter so that waiting for
+	// ticks does not delay the start.
 	startTick = 5 * time.Millisecond
 )
 
 type (
 	// Store is what a VM needs of the platform.
 	Store interface {
-		// List reads every key, linearizably.
+		// List reads all entries, linearizably.
 		List(ctx context.Context) (platform.Reading, error)
-		// VMs reads the VMs that are listed, linearizably.
+		// VMs reads the registered VMs, linearizably.
 		VMs(ctx context.Context) ([]sparconfig.VM, error)
 		// Revision reads the revision of the platform, linearizably.
 		Revision(ctx context.Context) (uint64, error)
-		// Changes reads what has changed after a revision. Some may be missing.
+		// Changes reads the changes after a revision. Some may be missing.
 		Changes(ctx context.Context, after uint64) (platform.Changes, error)
-		// Put writes entries that are all still at their revisions, 0 meaning absent, or
-		// none, and returns the revision at which they stand then.
+		// Put writes all entries if each is still at its revision, where 0 means absent, and
+		// otherwise none. It returns their new revision.
 		Put(ctx context.Context, entries ...sparregistry.Entry) (uint64, error)
-		// Remove takes an entry away that is still at its revision.
+		// Remove removes an entry if it is still at its revision.
 		Remove(ctx context.Context, e sparregistry.Entry) error
 		// Calls returns the number of calls made so far.
 		Calls() uint64
@@ -89,44 +92,44 @@
 
 	// VM is one running entry VM. Use New.
 	VM struct {
-		file  sparconfig.File
-		wire  sparconfig.CookieCarrier
-		log   *logrus.Entry
-		store Store
+		file    sparconfig.File
+		carrier sparconfig.CookieCarrier
+		log     *logrus.Entry
+		store   Store
 
-		data    *net.UDPConn
-		control *net.UDPConn
-		web     net.Listener
-		probe   net.Listener
-		port    uint16 // of callers, for packets back to them
+		data       *net.UDPConn
+		control    *net.UDPConn
+		controlTCP net.Listener
+		probe      net.Listener
+		port       uint16 // of clients, for packets sent back to them
 
 		packets *sparring.Ring[*packet]
 		inputs  *sparring.Ring[input]
-		asks    *sparring.Questions[*VM]
+		queries *sparring.Questions[*VM]
 		pulls   *sparring.Ring[pull]
-		reads   *sparring.Ring[order]
+		reads   *sparring.Ring[readRequest]
 		writes  *sparring.Ring[write]
 		buffers sync.Pool
 		ready   atomic.Bool
-		ending  chan struct{} // closed once the fabric has left
-		ended   chan struct{} // closed once requests that were accepted have ended
+		left    chan struct{} // closed once the fabric sends nothing more to this VM
+		drained chan struct{} // closed once all accepted control requests have ended
 
-		began     time.Time
-		clock     clock
-		engine    *sparcookie.Engine
-		sync      *sparsync.Sync
-		registry  sparregistry.Registry
-		timeline  *spartimeline.Ring
-		stamps    spartimeline.Clock
-		metrics   *metrics
-		shares    shareCache
-		listed    listing
-		early     []*packet // held until the first settings
-		synced    bool
-		reachable bool // the platform answered this VM last
-		lost      bool // it did not, and nobody has told newer settings since
-		age       time.Duration
-		leave     sparleave.Leave
+		began        time.Time
+		clock        clock
+		engine       *sparcookie.Engine
+		sync         *sparsync.Sync
+		registry     sparregistry.Registry
+		timeline     *spartimeline.Ring
+		stamps       spartimeline.Clock
+		metrics      *metrics
+		deltas       deltaCache
+		registration registration
+		early        []*packet // queued until the first settings
+		synced       bool
+		reachable    bool // the last platform read of this VM succeeded
+		platformLost bool // a platform read failed, and no fresh settings have arrived since
+		age          time.Duration
+		leave        sparleave.Leave
 	}
 )
 
@@ -137,19 +140,19 @@
 			err = errors.Annotatef(err, "VM %s", file.Name)
 		}
 	}()
-	wire, ok := file.Wire().(sparconfig.CookieCarrier)
+	carrier, ok := file.Wire().(sparconfig.CookieCarrier)
 	if !ok {
 		return nil, errors.Errorf("carrier %s, expected %s", file.Carrier, sparconfig.Cookie)
 	}
 	vm = &VM{
 		file: file, log: log.WithField("vm", file.Name), store: store, began: time.Now(),
 		packets: sparring.New[*packet](packetRing), inputs: sparring.New[input](inputRing),
-		asks: sparring.NewQuestions[*VM](askRing), pulls: sparring.New[pull](pullRing),
-		reads: sparring.New[order](1), writes: sparring.New[write](writeRing),
+		queries: sparring.NewQuestions[*VM](queryRing), pulls: sparring.New[pull](pullRing),
+		reads: sparring.New[readRequest](1), writes: sparring.New[write](writeRing),
 		engine: sparcookie.New(file.Name, file.Domain, file.Flows),
-		sync:   sparsync.New(file.VM(), wire.Force), wire: wire,
+		sync:   sparsync.New(file.VM(), carrier.Force), carrier: carrier,
 		timeline: spartimeline.NewRing(spartimeline.DefaultSize), metrics: newMetrics(),
-		reachable: true, ending: make(chan struct{}), ended: make(chan struct{}),
+		reachable: true, left: make(chan struct{}), drained: make(chan struct{}),
 	}
 	vm.buffers.New = func() any { return new(packet) }
 	if vm.clock, err = newClock(); err != nil {
@@ -161,39 +164,39 @@
 }
 
 func (vm *VM) open() (err error) {
-	if vm.data, err = sparsocket.Listen(vm.file.Data, socketQueue); err != nil {
+	if vm.data, err = sparsocket.Listen(vm.file.Data, socketBuffer); err != nil {
 		return err
 	}
-	if vm.control, err = sparsocket.Listen(vm.file.Control, socketQueue); err != nil {
+	if vm.control, err = sparsocket.Listen(vm.file.Control, socketBuffer); err != nil {
 		return err
 	}
-	if vm.web, err = net.Listen("tcp4", vm.file.Control); err != nil {
+	if vm.controlTCP, err = net.Listen("tcp4", vm.file.Control); err != nil {
 		return err
 	}
-	vm.probe, err = net.Listen("tcp4", vm.wire.Ready)
+	vm.probe, err = net.Listen("tcp4", vm.carrier.Ready)
 	return err
 }
 
-// Run serves until ctx ends, then goes on until the fabric has left and returns. A
-// value on reload brings new settings.
+// Run serves until ctx ends, then continues until the fabric sends nothing more to this
+// VM, and returns. Each file received on reload replaces the settings that may change.
 func (vm *VM) Run(ctx context.Context, reload <-chan sparconfig.File) (err error) {
-	vm.logStart() // before the thread that owns the time line
-	threads, cancel := context.WithCancel(context.Background())
+	vm.logStart() // before the event loop starts, which owns the timeline
+	workers, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	group := pool.New().WithContext(threads).WithCancelOnError().WithFirstError()
-	group.Go(func(context.Context) error { return vm.intake() })
-	group.Go(func(context.Context) error { return vm.listen() })
-	group.Go(vm.reader)
-	group.Go(vm.registrar)
+	group := pool.New().WithContext(workers).WithCancelOnError().WithFirstError()
+	group.Go(func(context.Context) error { return vm.readPackets() })
+	group.Go(func(context.Context) error { return vm.readControl() })
+	group.Go(vm.platformReader)
+	group.Go(vm.platformWriter)
 	group.Go(vm.puller)
 	group.Go(vm.serveControl)
 	group.Go(vm.serveProbes)
-	group.Go(func(threads context.Context) error {
+	group.Go(func(workers context.Context) error {
 		defer cancel()
-		return vm.decide(threads, ctx, reload)
+		return vm.eventLoop(workers, ctx, reload)
 	})
-	group.Go(func(threads context.Context) error {
-		<-threads.Done()
+	group.Go(func(workers context.Context) error {
+		<-workers.Done()
 		vm.close()
 		return nil
 	})
@@ -205,29 +208,30 @@
 	return err
 }
 
-// close ends the sockets. Their threads see net.ErrClosed and end.
+// close closes the sockets. The goroutines that use them get net.ErrClosed and return.
 func (vm *VM) close() {
-	for _, c := range []interface{ Close() error }{vm.data, vm.control, vm.web, vm.probe, vm.metrics.set} {
-		_ = c.Close() // nothing is left to be lost
+	for _, c := range []interface{ Close() error }{vm.data, vm.control, vm.controlTCP, vm.probe, vm.metrics.set} {
+		_ = c.Close() // no data is pending
 	}
 }
 
-// decide is the thread that owns the state.
-func (vm *VM) decide(threads, stop context.Context, reload <-chan sparconfig.File) error {
+// eventLoop handles packets, inputs, queries and ticks one at a time. It alone accesses
+// the state. stop is done when the VM is to leave.
+func (vm *VM) eventLoop(workers, stop context.Context, reload <-chan sparconfig.File) error {
 	ticker := time.NewTicker(startTick)
 	defer ticker.Stop()
 	starting := true
 	stopping := stop.Done()
-	ending := vm.ending
+	left := vm.left
 	vm.tick()
 	for {
 		select {
 		case p := <-vm.packets.Out():
 			vm.forward(p)
 		case in := <-vm.inputs.Out():
-			vm.take(in)
-		case answer := <-vm.asks.Out():
-			answer(vm)
+			vm.dispatch(in)
+		case query := <-vm.queries.Out():
+			query(vm)
 		case file := <-reload:
 			vm.reload(file)
 		case <-ticker.C:
@@ -236,34 +240,35 @@
 				starting = false
 				ticker.Reset(tickEvery)
 			}
-			if ending != nil && vm.leave.Done(vm.clock.now()) {
-				close(ending)
-				ending = nil
+			if left != nil && vm.leave.Done(vm.clock.now()) {
+				close(left)
+				left = nil
 			}
-		case <-vm.ended:
+		case <-vm.drained:
 			return nil
 		case <-stopping:
 			stopping = nil
-			vm.leave.Begin(vm.file.Name, vm.clock.now(), vm.wire.Grace)
+			vm.leave.Begin(vm.file.Name, vm.clock.now(), vm.carrier.Grace)
 			vm.logLeaving()
-			vm.depart(vm.clock.now())
-		case <-threads.Done():
+			vm.coordinateLeave(vm.clock.now())
+		case <-workers.Done():
 			return nil
 		}
 	}
 }
 
-// reload takes the settings that may change while the VM runs. Addresses stay.
+// reload applies the settings that may change while the VM runs: the seeds and the grace
+// time. Addresses stay.
 func (vm *VM) reload(file sparconfig.File) {
 	vm.file.Seeds = file.Seeds
-	if wire, ok := file.Wire().(sparconfig.CookieCarrier); ok {
-		vm.wire.Grace = wire.Grace
+	if carrier, ok := file.Wire().(sparconfig.CookieCarrier); ok {
+		vm.carrier.Grace = carrier.Grace
 	}
 	vm.sync.Seeds(file.Seeds)
 	vm.logReload()
 }
 
-// tick does what time makes due.
+// tick does the periodic work of the event loop.
 func (vm *VM) tick() {
 	now := vm.clock.now()
 	vm.engine.Advance(time.Since(vm.began))
@@ -273,17 +278,18 @@
 	state := vm.sync.State()
 	vm.perform(vm.sync.Tick(now), now)
 	if vm.sync.Fresh(now) {
-		vm.regain(vm.sync.Reader())
+		vm.regainPlatform(vm.sync.Reader())
 	}
 	vm.register(now)
-	vm.depart(now)
+	vm.coordinateLeave(now)
 	vm.logState(state)
 	vm.logEvents()
 	vm.metrics.publish(vm)
 }
 
-// depart takes turns with the other VMs of the failure domain that were told to stop.
-func (vm *VM) depart(now time.Duration) {
+// coordinateLeave makes VMs of a failure domain that were told to stop leave one after the
+// other: it sends announcements to them and refuses probes when it is this VM's turn.
+func (vm *VM) coordinateLeave(now time.Duration) {
 	if !vm.leave.Begun() {
 		return
 	}
@@ -291,7 +297,7 @@
 	refused := !vm.leave.Ready()
 	for _, d := range vm.leave.Tick(len(siblings)+1, now) {
 		for _, sibling := range siblings {
-			vm.tell(sibling, sparcontrol.EncodeDeparture(d))
+			vm.sendControl(sibling, sparcontrol.EncodeDeparture(d))
 		}
 	}
 	if !vm.leave.Ready() && !refused {
--- a/internal/vm/sparentry/entry_test.go
+++ b/internal/vm/sparentry/entry_test.go
@@ -25,14 +25,14 @@
 	if calls, _ := fields["calls"].(float64); !ok || calls > 3 {
 		t.Errorf("ready after %v calls, want at most 3", fields["calls"])
 	}
-	eventually(t, "listed", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
+	eventually(t, "registered", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
 }
 
-func TestOpeningReachesItsUpstream(t *testing.T) {
+func TestSYNReachesUpstream(t *testing.T) {
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	v.send(opening(front))
+	v.send(syn(serviceAddr))
 	got := s.receive()
 	if len(got) != platform.TagBytes+platform.HeadBytes || binary.BigEndian.Uint64(got) != 0x7f3a {
 		t.Fatalf("datagram %x", got)
@@ -41,51 +41,52 @@
 	if err != nil || segment.Cookie == 0 {
 		t.Errorf("cookie %x, error %v", segment.Cookie, err)
 	}
-	eventually(t, "a line for the opening", func() bool {
+	eventually(t, "a log line for the SYN", func() bool {
 		fields, ok := v.log.find("opening")
 		return ok && fields["flow"] == "127.0.0.1:40001>198.18.0.1:8080" && fields["upstream"] == "7f3a" && fields["cause"] == "placed"
 	})
 }
 
-// TestEarlyPacketsWait sends an opening before the VM knows settings.
-func TestEarlyPacketsWait(t *testing.T) {
+// TestEarlyPacketsAreQueued sends a SYN before the VM has settings.
+func TestEarlyPacketsAreQueued(t *testing.T) {
 	s := newSite(t)
 	s.fake.Slow(300 * time.Millisecond)
 	v := s.start("vm-1")
-	v.send(opening(front))
+	v.send(syn(serviceAddr))
 	if v.ready() {
 		t.Error("ready without settings")
 	}
 	s.receive()
 }
 
-func TestRefusedCallerGetsAReset(t *testing.T) {
+func TestRefusedClientGetsReset(t *testing.T) {
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
 	data := netip.MustParseAddrPort(v.file.Data)
-	caller, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2), Port: int(data.Port())})
+	client, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2), Port: int(data.Port())})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = caller.Close() }()
-	b := opening(sparflow.MakeEndpoint(front.IP(), 9999))
+	defer func() { _ = client.Close() }()
+	b := syn(sparflow.MakeEndpoint(serviceAddr.IP(), 9999))
 	binary.BigEndian.PutUint32(b[12:], 0x7f000002)
 	v.send(b)
-	_ = caller.SetReadDeadline(time.Now().Add(patience))
+	_ = client.SetReadDeadline(time.Now().Add(timeout))
 	got := make([]byte, 100)
-	n, err := caller.Read(got)
+	n, err := client.Read(got)
 	if err != nil || n != platform.HeadBytes || got[30] != 16 {
 		t.Errorf("%x, error %v, want a reset", got[:n], err)
 	}
-	eventually(t, "a line for the refusal", func() bool {
+	eventually(t, "a log line for the refusal", func() bool {
 		fields, ok := v.log.find("flow refused")
 		return ok && fields["cause"] == "no-route" && fields["do"] == "reset"
 	})
 }
 
-// TestBadInput sends what no caller or VM sends, and then an opening.
-func TestBadInput(t *testing.T) {
+// TestInvalidInput sends invalid packets, control datagrams and platform entries, and checks
+// that a SYN still reaches its upstream.
+func TestInvalidInput(t *testing.T) {
 	s := newSite(t)
 	s.fake.Put(sparfake.ServerPrefix+"i-1", []byte{0xff, 0x00})
 	s.fake.Put(sparfake.ServerPrefix+"i-2", []byte(`{"service":7}`))
@@ -106,13 +107,13 @@
 			t.Fatal(err)
 		}
 	}
-	v.send(opening(front))
+	v.send(syn(serviceAddr))
 	s.receive()
 	if _, ok := v.log.find("entry left out"); !ok {
-		t.Error("no line for an entry that cannot be read")
+		t.Error("no log line for an invalid entry")
 	}
 	if _, ok := v.log.find("packet refused"); !ok {
-		t.Error("no line for a packet that cannot be read")
+		t.Error("no log line for an invalid packet")
 	}
 }
 
@@ -145,36 +146,39 @@
 	}
 }
 
-// TestStartWhilePlatformIsAway learns settings from a seed.
-func TestStartWhilePlatformIsAway(t *testing.T) {
+// TestStartWithoutPlatform starts a VM during an outage of the platform. It gets its settings
+// from a seed.
+func TestStartWithoutPlatform(t *testing.T) {
 	s := newSite(t)
 	first := s.start("vm-1")
 	eventually(t, "ready", first.ready)
 	s.fake.Fault(sparfake.Resets)
 	second := s.start("vm-2", first.file.Control)
 	eventually(t, "ready without the platform", second.ready)
-	eventually(t, "a line for the lost dependency", func() bool { _, ok := second.log.find("dependency lost"); return ok })
+	eventually(t, "a log line for the lost dependency", func() bool { _, ok := second.log.find("dependency lost"); return ok })
 	s.fake.Fault(sparfake.Sound)
-	eventually(t, "a line for the regained dependency", func() bool { _, ok := second.log.find("dependency regained"); return ok })
+	eventually(t, "a log line for the regained dependency", func() bool { _, ok := second.log.find("dependency regained"); return ok })
 }
 
-// TestPlatformRegainedThroughAPeer starts a VM that does not reach the platform. It says so,
-// and that another VM tells it what the platform holds.
-func TestPlatformRegainedThroughAPeer(t *testing.T) {
+// TestPlatformRegainedThroughPeer starts a VM that cannot reach the platform. It logs that,
+// and then that it gets the settings of the platform through another VM.
+func TestPlatformRegainedThroughPeer(t *testing.T) {
 	s := newSite(t)
 	first := s.start("vm-1")
 	eventually(t, "ready", first.ready)
-	s.store = free(t) // nobody answers there
+	s.store = addr(t) // nothing listens there
 	second := s.start("vm-2", first.file.Control)
-	eventually(t, "a line for the lost dependency", func() bool { _, ok := second.log.find("dependency lost"); return ok })
-	eventually(t, "a line for the regained dependency", func() bool {
+	eventually(t, "a log line for the lost dependency", func() bool { _, ok := second.log.find("dependency lost"); return ok })
+	eventually(t, "a log line for the regained dependency", func() bool {
 		fields, ok := second.log.find("dependency regained")
 		return ok && fields["through"] == "vm-1"
 	})
 }
 
-// TestLapsedEntriesAreKept takes an upstream's entry away while the platform is down.
-func TestLapsedEntriesAreKept(t *testing.T) {
+// TestExpiredEntriesAreKept removes the entry of a live upstream during an outage of the
+// platform, as when its lease expires. The VM keeps the upstream for a while, but must not
+// claim the revision at which the entry is missing.
+func TestExpiredEntriesAreKept(t *testing.T) {
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
@@ -193,16 +197,17 @@
 	}
 	facts, err := sparcontrol.Dial(v.file.Control, http.DefaultClient).Facts(t.Context(), &sparcontrol.FactsRequest{})
 	if err != nil || facts.Revision >= reached {
-		t.Errorf("claims revision %d with an upstream that has no entry at %d, error %v", facts.GetRevision(), reached, err)
+		t.Errorf("revision %d claimed, but the upstream kept has no entry at revision %d, error %v", facts.GetRevision(), reached, err)
 	}
-	v.send(opening(front))
+	v.send(syn(serviceAddr))
 	s.receive()
-	eventually(t, "the upstream is taken for gone in the end", func() bool { _, ok := v.log.find("upstream left"); return ok })
+	eventually(t, "the upstream is removed in the end", func() bool { _, ok := v.log.find("upstream left"); return ok })
 }
 
-// TestLargeSettingsAreReadByChange lists many upstreams, and then changes some while the
-// platform tells of them, keeps them back, and drops its history.
-func TestLargeSettingsAreReadByChange(t *testing.T) {
+// TestLargeSettingsAreReadIncrementally registers many upstreams and then makes changes: with
+// a correct platform, with one that omits the latest change, and with one that has dropped
+// its history.
+func TestLargeSettingsAreReadIncrementally(t *testing.T) {
 	s := newSite(t)
 	for i := range 300 {
 		key, entry := sparfake.Entry(uint64(0x9000+i), "booking", "north", "127.0.0.1:9", false, time.Now())
@@ -210,7 +215,7 @@
 	}
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	eventually(t, "listed", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
+	eventually(t, "registered", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
 	has := func(version int) func() bool {
 		return func() bool {
 			v.log.mu.Lock()
@@ -222,49 +227,50 @@
 	s.route(4)
 	eventually(t, "version 4", has(4))
 	if more := s.fake.Served() - served; more > 20_000 {
-		t.Errorf("%d bytes read for one change, want less than everything", more)
+		t.Errorf("%d bytes read for one change, want less than a full read", more)
 	}
 	s.fake.Fault(sparfake.Hides)
 	s.route(5)
-	eventually(t, "version 5 though the platform keeps it back", has(5))
+	eventually(t, "version 5 although the platform omits the change", has(5))
 	if _, ok := v.log.find("changes incomplete, everything is read"); !ok {
-		t.Error("no line for changes that were kept back")
+		t.Error("no log line for omitted changes")
 	}
 	s.fake.Fault(sparfake.Sound)
 	s.fake.Compact()
 	s.route(6)
-	eventually(t, "version 6 though the history is gone", has(6))
+	eventually(t, "version 6 although the history was dropped", has(6))
 	s.fake.Remove(s.key)
-	eventually(t, "the upstream is gone", func() bool { _, ok := v.log.find("upstream left"); return ok })
+	eventually(t, "the upstream is removed", func() bool { _, ok := v.log.find("upstream left"); return ok })
 }
 
-// TestOwnListingProvesNothing writes the listing of this VM at a revision between two
-// others, and checks that no entry is lost by it.
-func TestOwnListingProvesNothing(t *testing.T) {
+// TestOwnRegistrationKeepsRevision starts several VMs at once, so that each writes its own
+// entry between the writes of others. A VM that took its own write for a complete revision
+// would miss the others' entries and keep calling the platform.
+func TestOwnRegistrationKeepsRevision(t *testing.T) {
 	s := newSite(t)
 	for i := range 6 {
 		s.start(fmt.Sprintf("vm-%d", i))
 	}
 	for i := range 6 {
-		eventually(t, "every VM is listed", func() bool { _, ok := s.fake.Get(fmt.Sprintf("vm/vm-%d", i)); return ok })
+		eventually(t, "every VM is registered", func() bool { _, ok := s.fake.Get(fmt.Sprintf("vm/vm-%d", i)); return ok })
 	}
-	time.Sleep(2500 * time.Millisecond) // two tries to list, had one failed
+	time.Sleep(2500 * time.Millisecond) // two attempts to register, had one failed
 	calls := s.fake.Calls()
 	time.Sleep(time.Second)
 	if more := s.fake.Calls() - calls; more > 6 {
-		t.Errorf("%d calls in a second of calm, want the reader's 1 or 2", more)
+		t.Errorf("%d calls in a second without changes, want the reader's 1 or 2", more)
 	}
 }
 
-// TestRemovedListingComesBack takes the entry of a VM that lives out of the platform.
-func TestRemovedListingComesBack(t *testing.T) {
+// TestRemovedVMRegistersAgain removes the entry of a running VM from the platform.
+func TestRemovedVMRegistersAgain(t *testing.T) {
 	s := newSite(t)
 	s.start("vm-1")
-	listed := func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok }
-	eventually(t, "listed", listed)
-	time.Sleep(time.Second) // a reading, in which the VM sees its entry
+	registered := func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok }
+	eventually(t, "registered", registered)
+	time.Sleep(time.Second) // time for a read in which the VM sees its entry
 	s.fake.Remove("vm/vm-1")
-	eventually(t, "listed again", listed)
+	eventually(t, "registered again", registered)
 }
 
 func TestGracefulStop(t *testing.T) {
@@ -273,19 +279,19 @@
 	eventually(t, "ready", v.ready)
 	v.stop()
 	eventually(t, "not ready", func() bool { return !v.ready() })
-	v.send(opening(front)) // the fabric has not left yet
+	v.send(syn(serviceAddr)) // the fabric still sends to this VM
 	s.receive()
 	eventually(t, "stopped", func() bool { _, ok := v.log.find("stop"); return ok })
 }
 
-// TestTurns tells both VMs of a failure domain to stop at once: the second takes packets
-// until the first has had time to come back.
-func TestTurns(t *testing.T) {
+// TestVMsOfADomainLeaveInTurn stops both VMs of a failure domain at once. The second must
+// accept packets until the first has had time to restart.
+func TestVMsOfADomainLeaveInTurn(t *testing.T) {
 	s := newSite(t)
 	s.grace = 6
 	first, second := s.start("vm-1"), s.start("vm-2")
 	for _, v := range []*vm{first, second} {
-		eventually(t, "both know each other", func() bool {
+		eventually(t, "both VMs are in the settings", func() bool {
 			v.log.mu.Lock()
 			defer v.log.mu.Unlock()
 			return strings.Contains(v.log.text.String(), `"vms":2`)
@@ -302,7 +308,7 @@
 		return ok || first.ready()
 	})
 	if !second.ready() {
-		t.Error("the second refuses while the first is away")
+		t.Error("the second refuses before the first can have restarted")
 	}
 	eventually(t, "the second refuses", func() bool { return !second.ready() })
 }
@@ -314,7 +320,7 @@
 	file := v.file
 	file.Seeds = []string{"127.0.0.1:9"}
 	v.reload <- file
-	eventually(t, "a line for the reload", func() bool {
+	eventually(t, "a log line for the reload", func() bool {
 		fields, ok := v.log.find("reload")
 		return ok && fields["seeds"] == float64(1)
 	})
@@ -324,7 +330,7 @@
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	v.send(opening(front))
+	v.send(syn(serviceAddr))
 	eventually(t, "metrics", func() bool {
 		r, err := http.Get("http://" + v.file.Control + "/metrics")
 		if err != nil {
--- a/internal/vm/sparentry/facts.go
+++ b/internal/vm/sparentry/facts.go
@@ -6,14 +6,14 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparroster"
 )
 
-// States of a VM, as status tells them.
+// States of a VM, as shown by the status command.
 const (
 	stateStarting = "starting"
 	stateServing  = "serving"
 	stateLeaving  = "leaving"
 )
 
-// facts returns what this VM knows about itself at this moment.
+// facts returns the current state of this VM.
 func (vm *VM) facts() *sparcontrol.FactsReply {
 	roster := vm.engine.Roster()
 	facts := &sparcontrol.FactsReply{
@@ -38,8 +38,8 @@
 	return facts
 }
 
-// upstreamFacts never claims that an upstream has drained: other flows of it may be
-// silent, and no VM keeps a list of all.
+// upstreamFacts never reports an upstream as drained: it may have idle flows that this VM
+// has not seen, and no VM has a record of all flows.
 func upstreamFacts(use sparcookie.Use) *sparcontrol.UpstreamFacts {
 	return &sparcontrol.UpstreamFacts{
 		At: uint64(use.Upstream.At), Draining: use.Upstream.Draining, Flows: uint32(use.Flows),
--- a/internal/vm/sparentry/handler.go
+++ b/internal/vm/sparentry/handler.go
@@ -13,7 +13,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/thread/sparring"
 )
 
-// surveyClient asks other VMs for their facts; the request's context bounds it.
+// surveyClient queries the state of other VMs. It has no timeout of its own; the context of
+// the request limits it.
 var surveyClient = &http.Client{}
 
 // handler serves the twirp service Control.
@@ -23,25 +24,25 @@
 
 // Pull implements Control.
 func (h handler) Pull(ctx context.Context, r *sparcontrol.PullRequest) (*sparcontrol.PullReply, error) {
-	t, ok := ctx.Value(ticketKey{}).(*ticket)
+	p, ok := ctx.Value(permitKey{}).(*permit)
 	if !ok {
-		return nil, errors.New("a pull without a ticket")
+		return nil, errors.New("pull request has no permit")
 	}
-	t.to, t.after = r.From.ToVM(), r.After
-	a, err := sparring.Ask(ctx, h.vm.asks, func(vm *VM) admission { return vm.answerPull(t) })
+	p.to, p.after = r.From.ToVM(), r.After
+	a, err := sparring.Ask(ctx, h.vm.queries, func(vm *VM) pullDecision { return vm.answerPull(p) })
 	if err != nil {
 		return nil, err
 	}
 	if a.reply.Synced && !a.reply.Busy && a.reply.Share == nil {
-		a.reply.Share = sparcontrol.EncodeShare(a.share)
-		h.vm.shares.put(a.key, a.reply.Share)
+		a.reply.Share = sparcontrol.EncodeShare(a.delta)
+		h.vm.deltas.put(a.key, a.reply.Share)
 	}
 	return a.reply, nil
 }
 
-// Facts implements Control. The reply carries the id of its request.
+// Facts implements Control. The reply has the ID of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
-	return sparring.Ask(ctx, h.vm.asks, func(vm *VM) *sparcontrol.FactsReply {
+	return sparring.Ask(ctx, h.vm.queries, func(vm *VM) *sparcontrol.FactsReply {
 		facts := vm.facts()
 		facts.Id = r.Id
 		return facts
@@ -54,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	others, err := sparring.Ask(ctx, h.vm.asks, (*VM).others)
+	others, err := sparring.Ask(ctx, h.vm.queries, (*VM).others)
 	if err != nil {
 		return nil, err
 	}
@@ -63,12 +64,12 @@
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
-	return sparring.Ask(ctx, h.vm.asks, func(vm *VM) *sparcontrol.EventsReply {
+	return sparring.Ask(ctx, h.vm.queries, func(vm *VM) *sparcontrol.EventsReply {
 		return sparcontrol.FromEvents(r, vm.file.Name, vm.timeline.Since(spartimeline.Stamp(r.Since)), vm.engine.Roster().VMs)
 	})
 }
 
-// others returns the VMs that the settings list beside this one.
+// others returns the VMs in the settings without this one.
 func (vm *VM) others() []sparconfig.VM {
 	return slices.DeleteFunc(slices.Clone(vm.engine.Roster().VMs), func(other sparconfig.VM) bool {
 		return other.Name == vm.file.Name
--- a/internal/vm/sparentry/log.go
+++ b/internal/vm/sparentry/log.go
@@ -12,14 +12,14 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparroster"
 )
 
-// logVerdict writes a line for each decision beyond passing a packet on. The flow
-// names the request: a caller logs the ends of the connection that carried it.
+// logVerdict logs each decision other than plain forwarding within a flow. The flow field
+// identifies the request, since clients log both ends of the connection that carried it.
 func (vm *VM) logVerdict(s sparcookie.Segment, v sparcookie.Verdict) {
 	if v.Answered {
-		vm.metrics.answered(v.First, v.Waited)
+		vm.metrics.recordLatency(v.First, v.Waited)
 	}
-	quiet := v.Cause == sparcookie.Carried || v.Cause == sparcookie.Relayed
-	if quiet && !v.Unanswered && !v.Lost {
+	routine := v.Cause == sparcookie.Carried || v.Cause == sparcookie.Relayed
+	if routine && !v.Unanswered && !v.Lost {
 		return
 	}
 	fields := vm.flowFields(s, v)
@@ -65,41 +65,41 @@
 	vm.log.WithFields(logrus.Fields{"cause": err.Error(), "bytes": size}).Warn("packet refused")
 }
 
-// logEvents writes what this VM has come to believe of upstreams.
+// logEvents logs changes in the state of upstreams as this VM has it on record.
 func (vm *VM) logEvents() {
 	for _, event := range vm.engine.Events() {
 		switch e := event.(type) {
 		case sparcookie.UpstreamListed:
-			vm.belief("upstream listed", e.Upstream, logrus.Fields{"draining": e.Upstream.Draining, "warm_ms": e.Upstream.Warm.Milliseconds()})
+			vm.logUpstream("upstream listed", e.Upstream, logrus.Fields{"draining": e.Upstream.Draining, "warm_ms": e.Upstream.Warm.Milliseconds()})
 		case sparcookie.UpstreamLeft:
-			vm.belief("upstream left", e.Upstream, nil)
+			vm.logUpstream("upstream left", e.Upstream, nil)
 		case sparcookie.UpstreamJudged:
-			vm.belief("upstream "+e.State, e.Upstream, logrus.Fields{"silent_ms": e.Silent.Milliseconds()})
+			vm.logUpstream("upstream "+e.State, e.Upstream, logrus.Fields{"silent_ms": e.Silent.Milliseconds()})
 		}
 	}
 }
 
-func (vm *VM) belief(what string, u sparroster.Upstream, fields logrus.Fields) {
+func (vm *VM) logUpstream(what string, u sparroster.Upstream, fields logrus.Fields) {
 	vm.log.WithFields(fields).WithFields(logrus.Fields{
 		"upstream": fmt.Sprintf("%x", u.ID), "at": u.At.String(), "service": u.Service, "domain": u.Domain,
 		"revision": vm.registry.Revision(), "age_ms": vm.age.Milliseconds(),
 	}).Info(what)
-	vm.note(what, u.Service, u.At.String(), 0)
+	vm.addEvent(what, u.Service, u.At.String(), 0)
 }
 
-func (vm *VM) note(kind, service, subject string, count int) {
+func (vm *VM) addEvent(kind, service, subject string, count int) {
 	vm.timeline.Add(spartimeline.Event{
 		At: vm.stamps.Next(time.Now()), VM: vm.file.Name, Kind: kind, Service: service, Subject: subject, Count: count,
 	})
 }
 
-// logSettings writes what is in force now and which entries were left out.
+// logSettings logs the settings now in force and the entries newly left out of them.
 func (vm *VM) logSettings(before, now sparroster.Roster, source string) {
 	vm.log.WithFields(logrus.Fields{
 		"revision": now.Revision, "before": before.Revision, "version": now.Routing.Version, "source": source,
 		"routes": len(now.Routing.Routes), "upstreams": len(now.Upstreams), "vms": len(now.VMs),
 	}).Info("settings in force")
-	vm.note("in-force", "", source, int(now.Revision))
+	vm.addEvent("in-force", "", source, int(now.Revision))
 	known := map[sparroster.Problem]bool{}
 	for _, p := range before.Problems {
 		known[p] = true
@@ -111,7 +111,7 @@
 	}
 }
 
-// logState writes a change of who reads the platform, as far as this VM has a part.
+// logState logs a change of this VM's role in reading and passing on the settings.
 func (vm *VM) logState(before string) {
 	now := vm.sync.State()
 	if now == before {
@@ -120,28 +120,29 @@
 	vm.log.WithFields(logrus.Fields{
 		"before": before, "now": now, "reader": vm.sync.Reader(), "age_ms": vm.age.Milliseconds(),
 	}).Info("settings role")
-	vm.note("settings-"+now, "", vm.sync.Reader(), 0)
+	vm.addEvent("settings-"+now, "", vm.sync.Reader(), 0)
 }
 
-// logStore writes the outcome of a reading, where the platform was lost or regained by it.
-func (vm *VM) logStore(err error) {
+// logRead logs a failed platform read, and when the platform becomes unavailable or available
+// again.
+func (vm *VM) logRead(err error) {
 	vm.reachable = err == nil
 	if err == nil {
-		vm.regain(vm.file.Name)
+		vm.regainPlatform(vm.file.Name)
 		return
 	}
 	vm.log.WithFields(logrus.Fields{"cause": shortError(err), "age_ms": vm.age.Milliseconds()}).Warn("platform call failed")
-	if !vm.lost {
-		vm.lost = true
+	if !vm.platformLost {
+		vm.platformLost = true
 		vm.logDependency("dependency lost", vm.file.Name)
 	}
 }
 
-// regain writes that the settings are those of the platform again, as the VM called
-// through has read them: this one, or the one that it hears from.
-func (vm *VM) regain(through string) {
-	if vm.lost {
-		vm.lost = false
+// regainPlatform logs that fresh settings arrive again after a failed platform read. through
+// is the VM that read them: this VM or the reader that notified it.
+func (vm *VM) regainPlatform(through string) {
+	if vm.platformLost {
+		vm.platformLost = false
 		vm.logDependency("dependency regained", through)
 	}
 }
@@ -150,47 +151,47 @@
 	vm.log.WithFields(logrus.Fields{
 		"dependency": "platform", "at": vm.file.Platform, "through": through, "age_ms": vm.age.Milliseconds(),
 	}).Warn(what)
-	vm.note(what, "", "platform", 0)
+	vm.addEvent(what, "", "platform", 0)
 }
 
 func (vm *VM) logPullFailed(p pull, err error) {
 	vm.log.WithFields(logrus.Fields{
-		"peer": p.ask.From.Name, "at": p.ask.From.Control, "cause": shortError(err), "age_ms": vm.age.Milliseconds(),
+		"peer": p.req.From.Name, "at": p.req.From.Control, "cause": shortError(err), "age_ms": vm.age.Milliseconds(),
 	}).Warn("peer did not answer")
 }
 
-func (vm *VM) logPeers(n int) {
+func (vm *VM) logListedVMs(n int) {
 	vm.log.WithFields(logrus.Fields{"seeds": len(vm.file.Seeds), "vms": n}).Info("no seed answers, listed VMs are asked")
 }
 
-func (vm *VM) logPeerBusy(p pull, elsewhere sparconfig.VM) {
-	fields := logrus.Fields{"peer": p.ask.From.Name, "at": p.ask.From.Control, "after": p.ask.After, "age_ms": vm.age.Milliseconds()}
-	if elsewhere.Name != "" {
-		fields["elsewhere"] = elsewhere.Name
+func (vm *VM) logPeerBusy(p pull, referral sparconfig.VM) {
+	fields := logrus.Fields{"peer": p.req.From.Name, "at": p.req.From.Control, "after": p.req.After, "age_ms": vm.age.Milliseconds()}
+	if referral.Name != "" {
+		fields["elsewhere"] = referral.Name
 	}
 	vm.log.WithFields(fields).Info("peer busy")
 }
 
-func (vm *VM) logListFailed(err error) {
+func (vm *VM) logRegisterFailed(err error) {
 	vm.log.WithFields(logrus.Fields{"cause": shortError(err)}).Warn("listing this VM failed, tried again")
 }
 
-func (vm *VM) logEnlist(w listOthers) {
+func (vm *VM) logRegisterOthers(w newEntries) {
 	vm.log.WithFields(logrus.Fields{"vms": len(w.entries), "first": w.entries[0].Key}).Info("listing VMs that have started")
 }
 
-func (vm *VM) logEnlisted(w listOthers, err error) {
+func (vm *VM) logOthersRegistered(w newEntries, err error) {
 	if err != nil {
 		vm.log.WithFields(logrus.Fields{"vms": len(w.entries), "cause": shortError(err)}).Warn("listing others failed, they list themselves")
 	}
 }
 
-func (vm *VM) logUnlist(name string, revision uint64) {
+func (vm *VM) logUnregister(name string, revision uint64) {
 	vm.log.WithFields(logrus.Fields{"silent": name, "revision": revision, "age_ms": vm.age.Milliseconds()}).Warn("VM silent for long, its entry is taken out")
-	vm.note("unlisted", "", name, 0)
+	vm.addEvent("unlisted", "", name, 0)
 }
 
-func (vm *VM) logUnlisted(key string, err error) {
+func (vm *VM) logUnregistered(key string, err error) {
 	fields := logrus.Fields{"key": key, "outcome": "done"}
 	if err != nil {
 		fields["outcome"] = shortError(err)
@@ -198,7 +199,7 @@
 	vm.log.WithFields(fields).Info("entry taken out")
 }
 
-func (vm *VM) logBrokenReading(after uint64, c changes) {
+func (vm *VM) logIncompleteChanges(after uint64, c incrementalRead) {
 	vm.log.WithFields(logrus.Fields{
 		"after": after, "reached": c.reached, "changes": len(c.Revisions), "age_ms": vm.age.Milliseconds(),
 	}).Warn("changes incomplete, everything is read")
@@ -210,10 +211,10 @@
 
 func (vm *VM) logStart() {
 	vm.log.WithFields(logrus.Fields{
-		"data": vm.file.Data, "control": vm.file.Control, "ready": vm.wire.Ready, "platform": vm.file.Platform,
-		"domain": vm.file.Domain, "force_ms": vm.wire.Force.Milliseconds(), "grace_s": vm.wire.Grace.Seconds(),
+		"data": vm.file.Data, "control": vm.file.Control, "ready": vm.carrier.Ready, "platform": vm.file.Platform,
+		"domain": vm.file.Domain, "force_ms": vm.carrier.Force.Milliseconds(), "grace_s": vm.carrier.Grace.Seconds(),
 	}).Info("start")
-	vm.note("started", "", "", 0)
+	vm.addEvent("started", "", "", 0)
 }
 
 func (vm *VM) logReady() {
@@ -223,18 +224,18 @@
 }
 
 func (vm *VM) logLeaving() {
-	vm.log.WithFields(logrus.Fields{"flows": vm.engine.Flows(), "siblings": len(vm.siblings()), "grace_s": vm.wire.Grace.Seconds()}).Info("leaving")
-	vm.note("leaving", "", "", 0)
+	vm.log.WithFields(logrus.Fields{"flows": vm.engine.Flows(), "siblings": len(vm.siblings()), "grace_s": vm.carrier.Grace.Seconds()}).Info("leaving")
+	vm.addEvent("leaving", "", "", 0)
 }
 
 func (vm *VM) logRefusing() {
 	vm.log.WithFields(logrus.Fields{"flows": vm.engine.Flows(), "waited_ms": vm.leave.Waited().Milliseconds()}).Info("refusing probes")
-	vm.note("refusing", "", "", 0)
+	vm.addEvent("refusing", "", "", 0)
 }
 
 func (vm *VM) logReload() {
-	vm.log.WithFields(logrus.Fields{"seeds": len(vm.file.Seeds), "grace_s": vm.wire.Grace.Seconds()}).Info("reload")
-	vm.note("reload", "", "", 0)
+	vm.log.WithFields(logrus.Fields{"seeds": len(vm.file.Seeds), "grace_s": vm.carrier.Grace.Seconds()}).Info("reload")
+	vm.addEvent("reload", "", "", 0)
 }
 
 func (vm *VM) logStop(err error) {
--- a/internal/vm/sparentry/metrics.go
+++ b/internal/vm/sparentry/metrics.go
@@ -10,33 +10,34 @@
 	"github.com/oleanderspar/oleanderspar/internal/route/sparcookie"
 )
 
-// latencyBuckets span a flow inside a failure domain to a caller's whole patience.
+// latencyBuckets range from the latency of a flow within a failure domain to the timeout of
+// a client.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 14)
 
-// metrics holds the counts of one VM and publishes them.
+// metrics holds the counters of one VM and publishes them.
 type metrics struct {
 	set        *sparmetrics.Set
 	published  time.Time
 	last       sparcookie.Stats
 	badPackets map[string]int64
-	unread     atomic.Uint64 // datagrams that the kernel could not hand over
+	unread     atomic.Uint64 // datagrams that could not be read from the kernel
 	unsent     atomic.Uint64 // datagrams that the kernel refused
-	early      atomic.Uint64 // packets given up before the first settings
+	early      atomic.Uint64 // packets dropped before the first settings
 	badControl atomic.Uint64
-	control    atomic.Uint64 // bytes of control datagrams sent
-	served     atomic.Uint64 // pulls of peers that were answered
-	busy       atomic.Uint64 // pulls of peers that were turned away
-	counted    map[string]uint64
+	control    atomic.Uint64     // bytes of control datagrams sent
+	served     atomic.Uint64     // pulls of peers that were served
+	busy       atomic.Uint64     // pulls of peers that were refused because of overload
+	counts     map[string]uint64 // totals published last
 }
 
 func newMetrics() *metrics {
-	return &metrics{set: sparmetrics.New(), badPackets: map[string]int64{}, counted: map[string]uint64{}}
+	return &metrics{set: sparmetrics.New(), badPackets: map[string]int64{}, counts: map[string]uint64{}}
 }
 
-// refusePacket counts a datagram that is no packet of a caller.
-func (m *metrics) refusePacket(err error) { m.badPackets[err.Error()]++ }
+// countBadPacket counts a datagram that is not a valid packet of a client.
+func (m *metrics) countBadPacket(err error) { m.badPackets[err.Error()]++ }
 
-// publish brings the metrics up to date about once a second.
+// publish updates the metrics about once a second.
 func (m *metrics) publish(vm *VM) {
 	now := time.Now()
 	if now.Sub(m.published) < sparmetrics.PublishEvery {
@@ -56,7 +57,7 @@
 	m.count("early_packets", m.early.Load())
 	m.count("unread_datagrams", m.unread.Load())
 	m.count("unsent_datagrams", m.unsent.Load())
-	m.count("full_rings", vm.packets.Refused()+vm.inputs.Refused()+vm.asks.Refused())
+	m.count("full_rings", vm.packets.Refused()+vm.inputs.Refused()+vm.queries.Refused())
 	roster := vm.engine.Roster()
 	m.set.Scope.Gauge("settings_revision").Update(float64(roster.Revision))
 	m.set.Scope.Gauge("settings_version").Update(float64(roster.Routing.Version))
@@ -74,14 +75,14 @@
 	m.count("lost_requests", stats.Lost)
 }
 
-// count publishes a count that only rises.
+// count publishes a counter by its total.
 func (m *metrics) count(name string, now uint64) {
-	m.set.Scope.Counter(name).Inc(int64(now - m.counted[name]))
-	m.counted[name] = now
+	m.set.Scope.Counter(name).Inc(int64(now - m.counts[name]))
+	m.counts[name] = now
 }
 
-// answered records how long a caller waited for the first sign of an answer.
-func (m *metrics) answered(opening bool, waited time.Duration) {
+// recordLatency records how long a client waited for the first sign of a response.
+func (m *metrics) recordLatency(opening bool, waited time.Duration) {
 	name := "answer_seconds"
 	if opening {
 		name = "opening_seconds"
--- a/internal/vm/sparentry/packets.go
+++ b/internal/vm/sparentry/packets.go
@@ -12,11 +12,11 @@
 	"github.com/oleanderspar/oleanderspar/platform"
 )
 
-// maxEarly is the number of packets held before the first settings: more than arrive
-// within the few calls that bring them, and little memory where they do not come.
+// maxEarly is the number of packets queued before the first settings. It is more than arrive
+// during the few calls that fetch the settings, and takes little memory if these fail.
 const maxEarly = 256
 
-// packet is one datagram between threads. Its bytes begin behind room for the tag.
+// packet is one datagram passed between goroutines. Room for the tag precedes its bytes.
 type packet struct {
 	buffer [platform.TagBytes + platform.MaxBytes + 1]byte
 	size   int // without the tag
@@ -25,8 +25,8 @@
 // bytes returns the packet as it arrived.
 func (p *packet) bytes() []byte { return p.buffer[platform.TagBytes : platform.TagBytes+p.size] }
 
-// intake is the thread that reads the data socket.
-func (vm *VM) intake() error {
+// readPackets reads packets from the data socket until it is closed.
+func (vm *VM) readPackets() error {
 	for {
 		p := vm.buffers.Get().(*packet)
 		size, _, err := vm.data.ReadFromUDPAddrPort(p.buffer[platform.TagBytes:])
@@ -34,7 +34,7 @@
 			return err
 		}
 		if err != nil {
-			vm.metrics.unread.Add(1) // an earlier datagram was refused; the socket goes on
+			vm.metrics.unread.Add(1) // the peer of an earlier datagram refused it; the socket still works
 			vm.buffers.Put(p)
 			continue
 		}
@@ -45,9 +45,9 @@
 	}
 }
 
-// hold keeps a packet that arrives before the first settings. Its sender would send
-// it again only after 200 ms.
-func (vm *VM) hold(p *packet) {
+// queueEarly keeps a packet that arrives before the first settings and drops the oldest one
+// if there are too many. Without it, senders would retransmit only after 200 ms.
+func (vm *VM) queueEarly(p *packet) {
 	if len(vm.early) >= maxEarly {
 		vm.buffers.Put(vm.early[0])
 		vm.early = vm.early[1:]
@@ -56,8 +56,8 @@
 	vm.early = append(vm.early, p)
 }
 
-// release decides on the packets held before the first settings.
-func (vm *VM) release() {
+// forwardEarly forwards the packets queued before the first settings.
+func (vm *VM) forwardEarly() {
 	early := vm.early
 	vm.early = nil
 	for _, p := range early {
@@ -65,10 +65,10 @@
 	}
 }
 
-// forward decides on one packet and sends what follows from it.
+// forward decides on one packet and sends what the verdict requires.
 func (vm *VM) forward(p *packet) {
 	if !vm.synced {
-		vm.hold(p)
+		vm.queueEarly(p)
 		return
 	}
 	defer vm.buffers.Put(p)
@@ -77,7 +77,7 @@
 	}
 	s, err := platform.Parse(p.bytes())
 	if err != nil {
-		vm.metrics.refusePacket(err)
+		vm.metrics.countBadPacket(err)
 		vm.logBadPacket(err, p.size)
 		return
 	}
@@ -98,7 +98,7 @@
 	vm.logVerdict(s, v)
 }
 
-// send writes a datagram. One that is lost is sent again by its author.
+// send writes a datagram. It does not retry: the original sender retransmits lost packets.
 func (vm *VM) send(b []byte, to sparflow.Endpoint) {
 	ip := to.IP()
 	address := netip.AddrFrom4([4]byte{byte(ip >> 24), byte(ip >> 16), byte(ip >> 8), byte(ip)})
--- a/internal/vm/sparentry/share_test.go
+++ b/internal/vm/sparentry/pull_test.go
@@ -12,26 +12,26 @@
 	"github.com/oleanderspar/oleanderspar/internal/peer/sparcontrol"
 )
 
-// TestPullsGiveTheirPlacesBack asks a VM for its settings many times at once, half of them
-// by callers that hang up. Afterwards there is room for others again.
-func TestPullsGiveTheirPlacesBack(t *testing.T) {
+// TestPullsReleaseTheirPermits pulls settings from a VM many times at once and cancels half
+// of the requests. Each must release its permit, or later pulls would be refused for ever.
+func TestPullsReleaseTheirPermits(t *testing.T) {
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	peer := sparcontrol.Dial(v.file.Control, &http.Client{Timeout: patience})
+	peer := sparcontrol.Dial(v.file.Control, &http.Client{Timeout: timeout})
 	var wg conc.WaitGroup
 	for i := range 60 {
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			if i%2 == 0 {
 				time.AfterFunc(time.Duration(i)*100*time.Microsecond, cancel)
 			}
-			_, _ = peer.Pull(ctx, &sparcontrol.PullRequest{}) // busy, given up, or served
+			_, _ = peer.Pull(ctx, &sparcontrol.PullRequest{}) // refused, cancelled or served
 		})
 	}
 	wg.Wait()
-	eventually(t, "two are served one after the other, neither in the other's place", func() bool {
+	eventually(t, "two pulls in a row are served", func() bool {
 		for range 2 {
 			reply, err := peer.Pull(t.Context(), &sparcontrol.PullRequest{})
 			if err != nil || reply.Busy {
@@ -45,8 +45,9 @@
 	})
 }
 
-// TestAcceptedRequestsAreAnswered is a planned stop under load: an operator's question that
-// takes its time, since another VM is silent, is accepted just before the process ends.
+// TestAcceptedRequestsAreAnswered stops a VM during a survey, which takes long since another
+// VM does not respond. The VM accepted the request just before its process ends and must
+// still answer it.
 func TestAcceptedRequestsAreAnswered(t *testing.T) {
 	s := newSite(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -57,26 +58,26 @@
 	s.fake.Put("vm/vm-2", []byte(`{"domain":"south","data":"127.0.0.1:1","control":"`+silent.Addr().String()+`"}`))
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	peer := sparcontrol.Dial(v.file.Control, &http.Client{Timeout: patience})
+	peer := sparcontrol.Dial(v.file.Control, &http.Client{Timeout: timeout})
 	v.stop()
-	time.Sleep(300 * time.Millisecond) // of the 500 that this grace leaves
+	time.Sleep(300 * time.Millisecond) // of the 500 ms that the grace time leaves
 	reply, err := peer.Survey(t.Context(), &sparcontrol.SurveyRequest{Id: "a"})
 	if err != nil || reply.Id != "a" {
 		t.Errorf("reply %v, error %v", reply, err)
 	}
 	select {
 	case <-v.done:
-		v.done <- nil // for the test's end
-	case <-time.After(patience):
-		t.Error("the VM does not end")
+		v.done <- nil // for the cleanup of the test
+	case <-time.After(timeout):
+		t.Error("the VM did not stop")
 	}
 }
 
-// TestSeedsListOthers starts VMs beside a seed: it lists them, and they call the platform
-// neither for their settings nor for their entries.
-func TestSeedsListOthers(t *testing.T) {
+// TestSeedsRegisterOthers starts VMs with a seed. The seed registers them, and they call the
+// platform neither to read settings nor to register.
+func TestSeedsRegisterOthers(t *testing.T) {
 	s := newSite(t)
-	control := free(t)
+	control := addr(t)
 	seed := s.startAt("vm-1", control, control)
 	eventually(t, "ready", seed.ready)
 	var others []*vm
@@ -85,17 +86,17 @@
 	}
 	for _, v := range others {
 		eventually(t, "ready", v.ready)
-		eventually(t, "listed", func() bool { _, ok := s.fake.Get("vm/" + v.file.Name); return ok })
+		eventually(t, "registered", func() bool { _, ok := s.fake.Get("vm/" + v.file.Name); return ok })
 		if n := v.store.Calls(); n > 0 {
 			t.Errorf("%s made %d calls", v.file.Name, n)
 		}
 	}
 }
 
-// TestListsItselfWithoutSeeds starts a VM whose seed does not answer.
-func TestListsItselfWithoutSeeds(t *testing.T) {
+// TestRegistersItselfWithoutSeeds starts a VM whose only seed does not answer.
+func TestRegistersItselfWithoutSeeds(t *testing.T) {
 	s := newSite(t)
-	v := s.start("vm-1", free(t))
+	v := s.start("vm-1", addr(t))
 	eventually(t, "ready", v.ready)
-	eventually(t, "listed", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
+	eventually(t, "registered", func() bool { _, ok := s.fake.Get("vm/vm-1"); return ok })
 }
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -12,13 +12,13 @@
 )
 
 type (
-	// input is what other threads tell the deciding one. It is a sealed interface.
+	// input is a message from another goroutine to the event loop. It is a sealed interface.
 	input interface {
 		input()
 	}
 
-	// heard is a datagram of a peer.
-	heard struct {
+	// received is a control datagram from a peer.
+	received struct {
 		datagram sparcontrol.Input
 	}
 
@@ -27,48 +27,48 @@
 		pull  pull
 		reply *sparcontrol.PullReply
 		age   time.Duration      // of the settings of the peer
-		share sparregistry.Share // unless the peer is busy or knows none
+		delta sparregistry.Share // unless the peer is overloaded or has no settings
 		err   error
 	}
 
-	// probed says that the fabric was told to send nothing here.
+	// probed reports that a probe was answered as not ready.
 	probed struct{}
 
-	// pull is a question to a peer for its settings.
+	// pull is a request to a peer for its settings.
 	pull struct {
-		ask   sparsync.Ask
+		req   sparsync.Ask
 		began time.Duration
 	}
 )
 
-func (heard) input()  {}
-func (pulled) input() {}
-func (probed) input() {}
+func (received) input() {}
+func (pulled) input()   {}
+func (probed) input()   {}
 
-// take acts on what another thread tells.
-func (vm *VM) take(in input) {
+// dispatch handles an input from another goroutine.
+func (vm *VM) dispatch(in input) {
 	now := vm.clock.now()
 	vm.engine.Advance(time.Since(vm.began))
 	state := vm.sync.State()
 	switch in := in.(type) {
-	case heard:
-		vm.hear(in.datagram, now)
+	case received:
+		vm.receive(in.datagram, now)
 	case read:
-		vm.takeReading(in, now)
+		vm.readDone(in, now)
 	case pulled:
-		vm.takePull(in, now)
+		vm.pullDone(in, now)
 	case probed:
 		vm.leave.Refused(now)
 	case served:
 		vm.sync.Served(in.to, in.after, in.digest, in.whole)
 	case wrote:
-		vm.takeWrite(in)
+		vm.writeDone(in)
 	}
 	vm.logState(state)
 	vm.logEvents()
 }
 
-func (vm *VM) hear(datagram sparcontrol.Input, now time.Duration) {
+func (vm *VM) receive(datagram sparcontrol.Input, now time.Duration) {
 	switch d := datagram.(type) {
 	case sparcontrol.Told:
 		vm.perform(vm.sync.Heard(d.Notice, now), now)
@@ -79,18 +79,18 @@
 	case sparcontrol.Received:
 		vm.sync.Confirmed(d.From, now)
 	default:
-		vm.metrics.badControl.Add(1) // of VMs of another carrier
+		vm.metrics.badControl.Add(1) // a message used only by VMs of another carrier
 	}
 	vm.age = vm.sync.Age(now)
 }
 
-func (vm *VM) takePull(in pulled, now time.Duration) {
+func (vm *VM) pullDone(in pulled, now time.Duration) {
 	if in.err != nil {
 		vm.logPullFailed(in.pull, in.err)
 		vm.perform(vm.sync.PullFailed(now), now)
 		return
 	}
-	from, r := in.pull.ask.From, in.reply
+	from, r := in.pull.req.From, in.reply
 	switch {
 	case r.Busy:
 		vm.logPeerBusy(in.pull, r.Elsewhere.ToVM())
@@ -98,7 +98,7 @@
 	case !r.Synced:
 		vm.perform(vm.sync.PullFailed(now), now)
 	default:
-		next, complete := vm.registry.WithShare(in.share)
+		next, complete := vm.registry.WithShare(in.delta)
 		vm.adopt(next, from.Name)
 		vm.perform(vm.sync.Pulled(from, r.Reader, in.pull.began-in.age, complete, now), now)
 	}
@@ -108,7 +108,7 @@
 	return sparsync.Held{Revision: vm.registry.Revision(), Digest: vm.registry.Digest()}
 }
 
-// adopt puts settings in force where they differ.
+// adopt replaces the registry and, if its content differs, puts the new settings in force.
 func (vm *VM) adopt(next sparregistry.Registry, source string) {
 	changed := next.Digest() != vm.registry.Digest() || !vm.synced
 	vm.registry = next
@@ -126,35 +126,36 @@
 		vm.ready.Store(vm.leave.Ready())
 		vm.logReady()
 		vm.engine.Fresh(true)
-		vm.release()
+		vm.forwardEarly()
 	}
 }
 
-// perform does what the settings need.
+// perform performs the outputs of sparsync.
 func (vm *VM) perform(outs []sparsync.Output, now time.Duration) {
 	for _, out := range outs {
 		switch out := out.(type) {
 		case sparsync.Read:
-			vm.reads.Put(order{began: now, after: out.After})
+			vm.reads.Put(readRequest{began: now, after: out.After})
 		case sparsync.Peek:
-			vm.reads.Put(order{began: now, vms: true})
+			vm.reads.Put(readRequest{began: now, vms: true})
 		case sparsync.Ask:
-			vm.pulls.Put(pull{ask: out, began: now}) // one at a time, see sparsync
+			vm.pulls.Put(pull{req: out, began: now}) // one at a time, see sparsync
 		case sparsync.Enquire:
-			vm.tell(out.To, sparcontrol.EncodeQuery(out.Query))
+			vm.sendControl(out.To, sparcontrol.EncodeQuery(out.Query))
 		case sparsync.Notify:
-			vm.tell(out.To, sparcontrol.EncodeNotice(out.Notice))
+			vm.sendControl(out.To, sparcontrol.EncodeNotice(out.Notice))
 		case sparsync.Enlist:
-			vm.enlist(out.VMs)
+			vm.registerOthers(out.VMs)
 		case sparsync.Unlist:
-			vm.unlist(out.Name)
+			vm.unregister(out.Name)
 		case sparsync.Confirm:
-			vm.tell(out.To, sparcontrol.EncodeReceipt(vm.file.VM()))
+			vm.sendControl(out.To, sparcontrol.EncodeReceipt(vm.file.VM()))
 		}
 	}
 }
 
-// post hands an input that must not be lost to the deciding thread.
+// post sends an input that must not be lost to the event loop. It retries while the ring is
+// full.
 func (vm *VM) post(ctx context.Context, in input) {
 	for !vm.inputs.Put(in) {
 		select {
@@ -165,8 +166,8 @@
 	}
 }
 
-// shortError returns the cause of a failed call without its address and path, which
-// each line of the log would repeat.
+// shortError returns the cause of a failed call without its address and path, which would
+// otherwise repeat in each log line.
 func shortError(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, "\": "); i >= 0 {
--- a/internal/vm/sparentry/site_test.go
+++ b/internal/vm/sparentry/site_test.go
@@ -23,19 +23,19 @@
 	"github.com/oleanderspar/oleanderspar/platform/sparfake"
 )
 
-const patience = 5 * time.Second
+const timeout = 5 * time.Second
 
-var front = sparflow.MakeEndpoint(0xc6120001, 8080) // 198.18.0.1:8080
+var serviceAddr = sparflow.MakeEndpoint(0xc6120001, 8080) // 198.18.0.1:8080
 
 type (
-	// site is a platform with VMs on loopback, and one upstream.
+	// site is a platform, VMs and one upstream, all on loopback.
 	site struct {
-		t     *testing.T
-		fake  *sparfake.Store
-		store string
-		up    *net.UDPConn
-		key   string // of the upstream in the store
-		grace int64  // seconds, of VMs started from now on
+		t        *testing.T
+		fake     *sparfake.Store
+		store    string
+		upstream *net.UDPConn
+		key      string // of the upstream's entry in the platform
+		grace    int64  // seconds; for VMs started later
 	}
 
 	// vm is one running VM.
@@ -43,27 +43,27 @@
 		site   *site
 		file   sparconfig.File
 		store  *platform.Store
-		log    *lines
+		log    *logBuffer
 		reload chan sparconfig.File
 		stop   func()
 		done   chan error
 	}
 
-	// lines is a log that tests search.
-	lines struct {
+	// logBuffer holds the log of a VM for tests to search.
+	logBuffer struct {
 		mu   sync.Mutex
 		text bytes.Buffer
 	}
 )
 
-func (l *lines) Write(b []byte) (n int, err error) {
+func (l *logBuffer) Write(b []byte) (n int, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-// find returns the first line with a message, and whether there is one.
-func (l *lines) find(message string) (fields map[string]any, ok bool) {
+// find returns the fields of the first line with a message. ok is false if there is none.
+func (l *logBuffer) find(message string) (fields map[string]any, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range strings.Split(l.text.String(), "\n") {
@@ -78,26 +78,26 @@
 	fake := sparfake.NewStore()
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.CloseClientConnections)
-	up, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	upstream, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = up.Close() })
-	s := &site{t: t, fake: fake, store: strings.TrimPrefix(server.URL, "http://"), up: up, grace: 1}
+	t.Cleanup(func() { _ = upstream.Close() })
+	s := &site{t: t, fake: fake, store: strings.TrimPrefix(server.URL, "http://"), upstream: upstream, grace: 1}
 	s.route(3)
-	key, entry := sparfake.Entry(0x7f3a, "booking", "north", up.LocalAddr().String(), false, time.Now())
+	key, entry := sparfake.Entry(0x7f3a, "booking", "north", upstream.LocalAddr().String(), false, time.Now())
 	s.key = key
 	fake.Put(key, entry)
 	return s
 }
 
-// route writes the operator's document with one route.
+// route writes the operator's configuration with one route.
 func (s *site) route(version uint64) {
-	s.fake.Put(sparfake.RoutingKey, sparfake.Routing(version, []sparfake.Route{{At: front, Service: "booking"}}))
+	s.fake.Put(sparfake.RoutingKey, sparfake.Routing(version, []sparfake.Route{{At: serviceAddr, Service: "booking"}}))
 }
 
-// free returns an address of loopback whose port is free for UDP and TCP.
-func free(t *testing.T) string {
+// addr returns a loopback address with a port that is free for TCP and most likely for UDP.
+func addr(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -106,16 +106,16 @@
 	return l.Addr().String()
 }
 
-// start runs a VM until the test ends.
-func (s *site) start(name string, seeds ...string) *vm { return s.startAt(name, free(s.t), seeds...) }
+// start runs a VM with a free control address until the test ends.
+func (s *site) start(name string, seeds ...string) *vm { return s.startAt(name, addr(s.t), seeds...) }
 
-// startAt runs a VM with a control address until the test ends.
+// startAt runs a VM at a control address until the test ends.
 func (s *site) startAt(name, control string, seeds ...string) *vm {
 	file := sparconfig.File{
-		Carrier: sparconfig.Cookie, Name: name, Domain: "north", Data: free(s.t), Control: control, Ready: free(s.t),
+		Carrier: sparconfig.Cookie, Name: name, Domain: "north", Data: addr(s.t), Control: control, Ready: addr(s.t),
 		Platform: s.store, Seeds: seeds, Log: "json", Flows: 1000, Force: 3000, Grace: s.grace,
 	}
-	v := &vm{site: s, file: file, store: platform.NewStore(s.store), log: &lines{}, reload: make(chan sparconfig.File, 1), done: make(chan error, 1)}
+	v := &vm{site: s, file: file, store: platform.NewStore(s.store), log: &logBuffer{}, reload: make(chan sparconfig.File, 1), done: make(chan error, 1)}
 	running, err := sparentry.New(file, v.store, sparlog.New(v.log, "json", logrus.InfoLevel, sparlog.FlowBurst))
 	if err != nil {
 		s.t.Fatal(err)
@@ -127,7 +127,7 @@
 		cancel()
 		select {
 		case <-v.done:
-		case <-time.After(patience):
+		case <-time.After(timeout):
 			s.t.Error("the VM did not stop")
 		}
 	})
@@ -143,10 +143,10 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// eventually waits until a condition holds.
+// eventually waits until holds returns true and fails the test after timeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -154,8 +154,8 @@
 	t.Fatalf("never: %s", what)
 }
 
-// opening is a SYN from the loopback caller to an address.
-func opening(to sparflow.Endpoint) []byte {
+// syn returns a SYN from a client on loopback to an address.
+func syn(to sparflow.Endpoint) []byte {
 	b := make([]byte, platform.HeadBytes)
 	binary.BigEndian.PutUint32(b[4:], to.IP())
 	binary.BigEndian.PutUint16(b[8:], 40001)
@@ -176,12 +176,12 @@
 	}
 }
 
-// receive returns the next datagram at the upstream.
+// receive returns the next datagram sent to the upstream.
 func (s *site) receive() []byte {
 	s.t.Helper()
 	b := make([]byte, 2000)
-	_ = s.up.SetReadDeadline(time.Now().Add(patience))
-	n, err := s.up.Read(b)
+	_ = s.upstream.SetReadDeadline(time.Now().Add(timeout))
+	n, err := s.upstream.Read(b)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/vm/sparentry/status_test.go
+++ b/internal/vm/sparentry/status_test.go
@@ -11,8 +11,9 @@
 	"github.com/oleanderspar/oleanderspar/platform/sparfake"
 )
 
-// TestStatusIsTrue reads status while VMs and the platform come and go.
-func TestStatusIsTrue(t *testing.T) {
+// TestStatusFollowsState reads the status while an upstream drains, the platform fails and
+// a VM stops.
+func TestStatusFollowsState(t *testing.T) {
 	s := newSite(t)
 	first, second := s.start("vm-1"), s.start("vm-2")
 	eventually(t, "both ready", func() bool { return first.ready() && second.ready() })
@@ -22,25 +23,25 @@
 	}
 	eventually(t, "both VMs answer", has("answered 2 of 2 VMs"))
 	eventually(t, "the service is in force", has("ok service booking revision"))
-	eventually(t, "the upstream serves", has("ok upstream booking "+s.up.LocalAddr().String()+" serving"))
+	eventually(t, "the upstream serves", has("ok upstream booking "+s.upstream.LocalAddr().String()+" serving"))
 
-	key, entry := sparfake.Entry(0x7f3a, "booking", "north", s.up.LocalAddr().String(), true, time.Now())
+	key, entry := sparfake.Entry(0x7f3a, "booking", "north", s.upstream.LocalAddr().String(), true, time.Now())
 	s.fake.Put(key, entry)
 	eventually(t, "the upstream drains", has("draining revision"))
 	if strings.Contains(text(), "drained") {
-		t.Error("says that an upstream has drained, which no VM can know")
+		t.Error("an upstream is reported as drained, which no VM can know")
 	}
 	s.fake.Put(sparfake.ServerPrefix+"i-bad", []byte("{}"))
-	eventually(t, "an entry that cannot be read is told", has("call service upstream/i-bad"))
+	eventually(t, "an invalid entry is reported", has("call service upstream/i-bad"))
 
 	s.fake.Fault(sparfake.Refuses)
-	eventually(t, "the platform is away", has("platform unknown, the last call of every VM failed"))
+	eventually(t, "the platform is unreachable", has("platform unknown, the last call of every VM failed"))
 	second.stop()
 	eventually(t, "a VM leaves", has("vm vm-2 answered as leaving"))
-	eventually(t, "a VM is silent", has("vm vm-2 unknown, did not answer"))
+	eventually(t, "a VM does not answer", has("vm vm-2 unknown, did not answer"))
 }
 
-// TestTimeline joins the events of both VMs.
+// TestTimeline checks that the timeline has the events of both VMs.
 func TestTimeline(t *testing.T) {
 	s := newSite(t)
 	first, second := s.start("vm-1"), s.start("vm-2")
