--- a/internal/vm/sparentry/packets.go
+++ b/internal/vm/sparentry/packets.go
@@ -86,10 +86,10 @@
 	switch v.Action {
 	case sparcookie.ToUpstream:
 		if v.Helper != 0 {
-			platform.Relay(p.bytes())
+			platform.MarkRelayed(p.bytes())
 			vm.send(p.bytes(), v.Helper)
 		}
-		platform.Address(p.buffer[:], v.ID, v.Cookie)
+		platform.SetUpstream(p.buffer[:], v.ID, v.Cookie)
 		vm.send(p.buffer[:platform.TagBytes+p.size], v.At)
 	case sparcookie.Reset:
 		vm.send(platform.Reset(p.buffer[:], s), sparflow.MakeEndpoint(s.From.IP(), vm.port))
--- a/internal/vm/sparentry/read.go
+++ b/internal/vm/sparentry/read.go
@@ -36,7 +36,7 @@
 
 	// fullRead is the whole content of the platform.
 	fullRead struct {
-		platform.Reading
+		platform.Snapshot
 	}
 
 	// incrementalRead is the changes until the platform reached a revision.
@@ -84,7 +84,7 @@
 		return incrementalRead{reached: reached}, err
 	}
 	c, err := vm.store.Changes(ctx, after)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		err = nil // readDone sees from the missing changes that the read is incomplete
 	}
 	return incrementalRead{Changes: c, reached: reached}, err
