--- a/internal/vm/sparlaunch/launch.go
+++ b/internal/vm/sparlaunch/launch.go
@@ -1,10 +1,11 @@
-// Package sparlaunch runs a VM of the cookie carrier as a process: its settings file,
-// its signals and its log.
+// Package sparlaunch runs a VM of the cookie carrier as a process. It sets up the log,
+// handles signals and reloads the settings file.
 //
 //	file, err := sparconfig.ReadFile(path)
 //	err = sparlaunch.Run(ctx, path, file, logrus.InfoLevel, os.Stdout)
 //
-// SIGTERM and SIGINT end it once the fabric has left; SIGHUP reads the file again.
+// After SIGTERM or SIGINT, Run returns once the fabric sends nothing more to the VM. SIGHUP
+// reloads the settings file.
 package sparlaunch
 
 import (
@@ -25,18 +26,17 @@
 )
 
 const (
-	// lookEvery is how often the settings file is checked for a change that no signal
-	// has told.
-	lookEvery = 2 * time.Second
-	// heapGrowth is the share in percent that the heap may grow before it is collected.
-	// A VM holds little and its memory is dearer than its processor time.
+	// pollEvery is how often the settings file is checked for a change without SIGHUP.
+	pollEvery = 2 * time.Second
+	// heapGrowth is the garbage collection target in percent. It is low because a VM has
+	// little live data and its memory costs more than its CPU time.
 	heapGrowth = 30
 )
 
-// Run serves until a signal ends it. Lines of the log go to out.
+// Run serves until ctx ends or a signal stops the VM. It writes the log to out.
 func Run(ctx context.Context, path string, file sparconfig.File, level logrus.Level, out io.Writer) (err error) {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // first and for good: unhandled, it would end the process
+	signal.Notify(hangups, syscall.SIGHUP) // first and never stopped: an unhandled SIGHUP ends the process
 	debug.SetGCPercent(heapGrowth)
 	pipe := sparlog.NewPipe(out)
 	defer pipe.Close()
@@ -51,34 +51,34 @@
 }
 
 // UntilSignal returns a context that ends at the first SIGTERM or SIGINT, and a channel
-// that gets the second.
+// that receives the second.
 func UntilSignal(parent context.Context) (ctx context.Context, abort <-chan os.Signal, cancel func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ctx, cancel = context.WithCancel(parent)
-	again := make(chan os.Signal, 1)
+	second := make(chan os.Signal, 1)
 	go func() {
 		<-signals
 		cancel()
-		again <- <-signals
+		second <- <-signals
 	}()
-	return ctx, again, cancel
+	return ctx, second, cancel
 }
 
-// reloads returns the settings file anew after each hang-up and each change. One that
-// cannot be used is logged and left aside.
+// reloads returns a channel that receives the settings file after each SIGHUP and each
+// change. It logs and skips an invalid file.
 func reloads(ctx context.Context, path string, hangups <-chan os.Signal, log *logrus.Logger) <-chan sparconfig.File {
 	files := make(chan sparconfig.File)
 	go func() {
-		look := time.NewTicker(lookEvery)
-		defer look.Stop()
-		seen := changed(path, time.Time{}, log)
+		poll := time.NewTicker(pollEvery)
+		defer poll.Stop()
+		last := modTime(path, time.Time{}, log)
 		for {
 			select {
 			case <-hangups:
-			case <-look.C:
-				if now := changed(path, seen, log); !now.Equal(seen) {
-					seen = now
+			case <-poll.C:
+				if now := modTime(path, last, log); !now.Equal(last) {
+					last = now
 					break
 				}
 				continue
@@ -100,9 +100,8 @@
 	return files
 }
 
-// changed returns when the file was last written, or before where that is not to be
-// learnt.
-func changed(path string, before time.Time, log *logrus.Logger) time.Time {
+// modTime returns the modification time of the file, or before if that is unknown.
+func modTime(path string, before time.Time, log *logrus.Logger) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		log.WithError(err).Warn("settings file not found, the settings read stay")
--- a/internal/vm/sparlaunch/launch_test.go
+++ b/internal/vm/sparlaunch/launch_test.go
@@ -18,20 +18,20 @@
 	"github.com/oleanderspar/oleanderspar/platform/sparfake"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
-// lines is a log that tells of each line.
-type lines chan string
+// logLines receives each line of a log.
+type logLines chan string
 
-func (l lines) Write(b []byte) (n int, err error) {
+func (l logLines) Write(b []byte) (n int, err error) {
 	l <- string(b)
 	return len(b), nil
 }
 
-// await waits for a line with a message.
-func (l lines) await(t *testing.T, message string) {
+// await waits for a line with a message and fails the test after timeout.
+func (l logLines) await(t *testing.T, message string) {
 	t.Helper()
-	end := time.After(patience)
+	end := time.After(timeout)
 	for {
 		select {
 		case line := <-l:
@@ -44,7 +44,7 @@
 	}
 }
 
-func free(t *testing.T) string {
+func addr(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 	return l.Addr().String()
 }
 
-// TestHangUpWhileLeaving sends SIGHUP while the VM serves, and again after SIGTERM, when it
-// once ended the process before the fabric had left.
-func TestHangUpWhileLeaving(t *testing.T) {
+// TestSIGHUPWhileLeaving sends SIGHUP while the VM serves and again after SIGTERM. SIGHUP
+// must not end the process while the fabric still sends to the VM.
+func TestSIGHUPWhileLeaving(t *testing.T) {
 	store := httptest.NewServer(sparfake.NewStore())
 	t.Cleanup(store.CloseClientConnections)
 	path := filepath.Join(t.TempDir(), "vm.json")
 	text := fmt.Sprintf(`{"carrier": "cookie", "name": "vm-1", "domain": "north", "log": "json", "grace": 2,
 		"data": %q, "control": %q, "ready": %q, "platform": %q}`,
-		free(t), free(t), free(t), strings.TrimPrefix(store.URL, "http://"))
+		addr(t), addr(t), addr(t), strings.TrimPrefix(store.URL, "http://"))
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, done := make(lines, 1000), make(chan error, 1)
+	log, done := make(logLines, 1000), make(chan error, 1)
 	go func() { done <- sparlaunch.Run(t.Context(), path, file, logrus.InfoLevel, log) }()
 	log.await(t, "ready")
 	signal := func(s syscall.Signal) {
