--- a/internal/log/sparlog/log.go
+++ b/internal/log/sparlog/log.go
@@ -1,7 +1,7 @@
-// Package sparlog makes the structured log of a process.
+// Package sparlog creates the structured log of a process.
 //
-// Lines that repeat are limited: of equal messages at most a burst a second are
-// written, then one line says how many were left out:
+// It limits repeated lines: at most burst lines with the same message are written a second.
+// One line then reports how many were left out:
 //
 //	log := sparlog.New(os.Stderr, "json", logrus.InfoLevel, sparlog.Burst)
 //	log.WithField("vm", "vm-1").Info("serving")
@@ -16,27 +16,27 @@
 )
 
 const (
-	// Burst is the number of equal messages written within a second.
+	// Burst is the number of lines with the same message written within a second.
 	Burst = 5
-	// FlowBurst is the same where each flow has lines of its own: as many openings
-	// as a VM of the largest deployment takes, and room for their resets.
+	// FlowBurst is the limit for logs with lines for each flow. It covers the new flows of a
+	// VM in the largest deployment and their resets.
 	FlowBurst = 100
 
 	maxMessages = 1024
 )
 
-// limiter is a formatter that leaves repeated messages out.
+// limiter is a formatter that leaves out repeated messages.
 type limiter struct {
 	next  logrus.Formatter
 	burst int
 
 	mu     sync.Mutex
 	second int64
-	seen   map[string]int
+	counts map[string]int
 }
 
-// New returns a log to w in the form "text" or "json", with at most burst equal
-// messages a second.
+// New returns a log that writes to w in the format "text" or "json", with at most burst
+// lines a second for each message.
 func New(w io.Writer, form string, level logrus.Level, burst int) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
@@ -45,24 +45,24 @@
 	if form == "json" {
 		formatter = &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}
 	}
-	log.SetFormatter(&limiter{next: formatter, burst: burst, seen: map[string]int{}})
+	log.SetFormatter(&limiter{next: formatter, burst: burst, counts: map[string]int{}})
 	return log
 }
 
-// Format implements logrus.Formatter. It returns no bytes for a line left out.
+// Format implements logrus.Formatter. It returns no bytes for a line that is left out.
 func (l *limiter) Format(e *logrus.Entry) (line []byte, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := e.Time.Unix(); second != l.second || len(l.seen) > maxMessages {
+	if second := e.Time.Unix(); second != l.second || len(l.counts) > maxMessages {
 		line, err = l.summary(e)
 		if err != nil {
 			return nil, err
 		}
 		l.second = second
-		clear(l.seen)
+		clear(l.counts)
 	}
-	l.seen[e.Message]++
-	if l.seen[e.Message] > l.burst {
+	l.counts[e.Message]++
+	if l.counts[e.Message] > l.burst {
 		return line, nil
 	}
 	formatted, err := l.next.Format(e)
@@ -70,14 +70,14 @@
 }
 
 func (l *limiter) summary(e *logrus.Entry) (line []byte, err error) {
-	left := 0
-	for _, n := range l.seen {
-		left += max(0, n-l.burst)
+	dropped := 0
+	for _, n := range l.counts {
+		dropped += max(0, n-l.burst)
 	}
-	if left == 0 {
+	if dropped == 0 {
 		return nil, nil
 	}
-	note := logrus.NewEntry(e.Logger).WithField("left", left)
-	note.Time, note.Level, note.Message = e.Time, logrus.WarnLevel, "repeated lines left out"
-	return l.next.Format(note)
+	warning := logrus.NewEntry(e.Logger).WithField("left", dropped)
+	warning.Time, warning.Level, warning.Message = e.Time, logrus.WarnLevel, "repeated lines left out"
+	return l.next.Format(warning)
 }
--- a/internal/log/sparlog/log_test.go
+++ b/internal/log/sparlog/log_test.go
@@ -16,7 +16,7 @@
 	for range 100_000 {
 		log.Info("again")
 	}
-	// The loop may touch a few seconds, each with its burst.
+	// The loop may span several seconds, each with a burst of its own.
 	if n := strings.Count(b.String(), `"msg":"again"`); n == 0 || n > 60*sparlog.Burst {
 		t.Errorf("%d lines written", n)
 	}
--- a/internal/log/sparlog/pipe.go
+++ b/internal/log/sparlog/pipe.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// pipeRing is the number of lines that wait for a slow reader.
+	// pipeRing is the number of lines that may wait for a slow reader.
 	pipeRing = 4096
-	// closeWait bounds how long a slow reader holds up the end of the process.
-	closeWait = 500 * time.Millisecond
+	// closeTimeout bounds how long a slow reader delays the end of the process.
+	closeTimeout = 500 * time.Millisecond
 )
 
-// Pipe passes lines to a writer without ever blocking their author: while the writer
-// is slow they wait in a ring, and what the ring cannot take is counted and said.
-// Use NewPipe.
+// Pipe passes lines to a writer without blocking the caller of Write. While the writer is
+// slow, lines wait in a ring; if the ring is full, they are dropped and their number is
+// logged. Use NewPipe.
 type Pipe struct {
-	lines   *sparring.Ring[[]byte]
-	stop    chan struct{}
-	flushed chan struct{}
-	said    uint64
+	lines    *sparring.Ring[[]byte]
+	stop     chan struct{}
+	flushed  chan struct{}
+	reported uint64
 }
 
-// NewPipe returns a pipe to w. Close ends it.
+// NewPipe returns a pipe to w. Call Close to stop it.
 func NewPipe(w io.Writer) *Pipe {
 	p := &Pipe{lines: sparring.New[[]byte](pipeRing), stop: make(chan struct{}), flushed: make(chan struct{})}
 	go p.run(w)
@@ -41,12 +41,12 @@
 	return len(line), nil
 }
 
-// Close writes what waits, for as long as closeWait, and ends the pipe.
+// Close writes the waiting lines for at most closeTimeout and stops the pipe.
 func (p *Pipe) Close() {
 	close(p.stop)
 	select {
 	case <-p.flushed:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -69,9 +69,9 @@
 }
 
 func (p *Pipe) write(w io.Writer, line []byte) {
-	if lost := p.lines.Refused(); lost != p.said {
-		line = fmt.Appendf(line, "{\"level\":\"warning\",\"msg\":\"lines lost to a slow reader\",\"lines\":%d}\n", lost-p.said)
-		p.said = lost
+	if dropped := p.lines.Refused(); dropped != p.reported {
+		line = fmt.Appendf(line, "{\"level\":\"warning\",\"msg\":\"lines lost to a slow reader\",\"lines\":%d}\n", dropped-p.reported)
+		p.reported = dropped
 	}
-	_, _ = w.Write(line) // a log that cannot be written has nowhere to say so
+	_, _ = w.Write(line) // there is no other place to report a failed write
 }
--- a/internal/log/sparlog/pipe_test.go
+++ b/internal/log/sparlog/pipe_test.go
@@ -10,21 +10,21 @@
 	"github.com/oleanderspar/oleanderspar/internal/log/sparlog"
 )
 
-// stuck is a writer that takes nothing until it is let go.
-type stuck struct {
-	gate sync.Mutex
-	got  bytes.Buffer
+// blockedWriter is a writer that blocks while mu is locked.
+type blockedWriter struct {
+	mu  sync.Mutex
+	got bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (n int, err error) {
-	s.gate.Lock()
-	defer s.gate.Unlock()
+func (s *blockedWriter) Write(b []byte) (n int, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.got.Write(b)
 }
 
 func TestPipeNeverBlocks(t *testing.T) {
-	w := &stuck{}
-	w.gate.Lock()
+	w := &blockedWriter{}
+	w.mu.Lock()
 	p := sparlog.NewPipe(w)
 	began := time.Now()
 	for range 100_000 {
@@ -33,18 +33,18 @@
 		}
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("100,000 lines to a stuck reader took %v", took)
+		t.Errorf("100,000 lines to a blocked writer took %v", took)
 	}
-	w.gate.Unlock()
+	w.mu.Unlock()
 	p.Close()
-	w.gate.Lock()
-	defer w.gate.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	text := w.got.String()
 	if n := strings.Count(text, "line\n"); n == 0 || n > 10_000 {
-		t.Errorf("%d lines arrived, want those that the ring holds", n)
+		t.Errorf("%d lines arrived, want only those in the ring", n)
 	}
 	if !strings.Contains(text, "lines lost to a slow reader") {
-		t.Error("lost lines are not said")
+		t.Error("no line reports the dropped lines")
 	}
 }
 
--- a/internal/log/sparmetrics/metrics.go
+++ b/internal/log/sparmetrics/metrics.go
@@ -1,5 +1,4 @@
-// Package sparmetrics makes the metrics of a process, in the text form that
-// collectors read:
+// Package sparmetrics provides the metrics of a process in the text format of Prometheus:
 //
 //	m := sparmetrics.New()
 //	defer m.Close()
@@ -18,9 +17,9 @@
 )
 
 const (
-	// Path is where metrics are served.
+	// Path is the HTTP path of the metrics.
 	Path = "/metrics"
-	// PublishEvery is how often counts reach the collectors' text.
+	// PublishEvery is how often the text is updated from the counters.
 	PublishEvery = time.Second
 )
 
