--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -42,8 +42,8 @@
 
 const (
 	// packetRing is the number of packets that may wait for the event loop: 20 ms at
-	// 200,000 packets a second, about the throughput of a VM. A longer wait gains nothing,
-	// since the senders retransmit.
+	// 200,000 packets a second, about the throughput of a VM. A packet that waits
+	// longer is as good as lost, since its sender retransmits it.
 	packetRing = 4096
 	// inputRing is the number of inputs that may wait for the event loop: one from each VM
 	// of a large fabric when all of them start at once.
@@ -126,9 +126,9 @@
 		registration registration
 		early        []*packet // queued until the first settings
 		synced       bool
-		reachable    bool // the last platform read of this VM succeeded
-		platformLost bool // a platform read failed, and no fresh settings have arrived since
-		age          time.Duration
+		reachable    bool          // the last platform read of this VM succeeded
+		platformLost bool          // a platform read failed, and no fresh settings have arrived since
+		age          time.Duration // of the settings, at the last tick or datagram
 		leave        sparleave.Leave
 	}
 )
--- a/internal/vm/sparentry/entry_test.go
+++ b/internal/vm/sparentry/entry_test.go
@@ -244,8 +244,8 @@
 }
 
 // TestOwnRegistrationKeepsRevision starts several VMs at once, so that each writes its own
-// entry between the writes of others. A VM that took its own write for a complete revision
-// would miss the others' entries and keep calling the platform.
+// entry at a revision between the writes of others. No entry may be lost by this: once all
+// VMs are registered, none may try again.
 func TestOwnRegistrationKeepsRevision(t *testing.T) {
 	s := newSite(t)
 	for i := range 6 {
--- a/internal/vm/sparentry/pull_test.go
+++ b/internal/vm/sparentry/pull_test.go
@@ -31,7 +31,7 @@
 		})
 	}
 	wg.Wait()
-	eventually(t, "two pulls in a row are served", func() bool {
+	eventually(t, "two pulls in a row are served, each with its own permit", func() bool {
 		for range 2 {
 			reply, err := peer.Pull(t.Context(), &sparcontrol.PullRequest{})
 			if err != nil || reply.Busy {
