--- a/internal/proof/sparsoak/fabric.go
+++ b/internal/proof/sparsoak/fabric.go
@@ -16,8 +16,8 @@
 	probeMisses = 2
 )
 
-// fabric hands packets to the VMs in rotation, each flow to the same one as long as
-// that stays.
+// fabric forwards packets to the VMs that pass its readiness probes. A flow stays on one
+// VM as long as that VM stays in rotation.
 type fabric struct {
 	vms    []*vm
 	client *http.Client
@@ -30,21 +30,21 @@
 	return &fabric{vms: vms, client: &http.Client{Timeout: probeEvery}, misses: map[*vm]int{}}
 }
 
-// probe asks the VMs whether they take packets, twice a second.
+// probe sends readiness probes to all VMs, twice a second.
 func (f *fabric) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, v := range f.vms {
-			go f.ask(v)
+			go f.probeVM(v)
 		}
 		sleep(ctx, probeEvery)
 	}
 }
 
-func (f *fabric) ask(v *vm) {
+func (f *fabric) probeVM(v *vm) {
 	r, err := f.client.Get("http://" + v.ready + platform.ReadyPath)
 	ready := err == nil && r.StatusCode == http.StatusOK
 	if err == nil {
-		_ = r.Body.Close() // its status has been read
+		_ = r.Body.Close() // only the status is needed
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// rotation returns the VMs that get packets: all where fewer than half are ready.
+// rotation returns the VMs that receive packets: those that pass their probes, or all VMs
+// if fewer than half pass.
 func (f *fabric) rotation() []*vm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +71,7 @@
 	return list
 }
 
-// route returns the VM for a flow.
+// route returns the data address of the VM for a flow, by rendezvous hashing.
 func (f *fabric) route(flow uint64) (to netip.AddrPort, ok bool) {
 	list := f.rotation()
 	names := make([]uint64, len(list))
--- a/internal/proof/sparsoak/faults.go
+++ b/internal/proof/sparsoak/faults.go
@@ -11,207 +11,209 @@
 )
 
 const (
-	leastPause = 150 * time.Millisecond
-	mostPause  = 900 * time.Millisecond
-	leastFault = 300 * time.Millisecond
-	mostFault  = 4 * time.Second
-	// drainTime is how long an upstream serves after it has said that it drains.
+	minPause = 150 * time.Millisecond
+	maxPause = 900 * time.Millisecond
+	minFault = 300 * time.Millisecond
+	maxFault = 4 * time.Second
+	// drainTime is how long an upstream keeps serving after it has announced its drain.
 	drainTime = Force + 2*time.Second
 )
 
-// fault is something that goes wrong, or planned work.
+// fault is a failure, or a planned operation, to inject.
 type fault struct {
-	name string
-	do   func(w *world, ctx context.Context)
+	name   string
+	inject func(t *testbed, ctx context.Context)
 }
 
 var faults = []fault{
-	{"planned restart", (*world).plannedRestart},
-	{"planned restart", (*world).plannedRestart},
-	{"kill", (*world).kill},
-	{"pause", (*world).pause},
-	{"hang-up", (*world).hangUp},
-	{"store proxy", (*world).harmProxy},
-	{"store proxy", (*world).harmProxy},
-	{"store", (*world).harmStore},
-	{"drain", (*world).drain},
-	{"drain", (*world).drain},
-	{"silent upstream", (*world).silence},
-	{"crash", (*world).crash},
-	{"cut to upstream", (*world).cutUpstream},
-	{"routes", (*world).storm},
-	{"routes", (*world).storm},
-	{"kill all", (*world).killAll},
-}
-
-// harm lets faults come until the time of the plan is over, and returns once those
-// under way have ended.
-func (w *world) harm(ctx context.Context) {
+	{"planned restart", (*testbed).plannedRestart},
+	{"planned restart", (*testbed).plannedRestart},
+	{"kill", (*testbed).kill},
+	{"pause", (*testbed).pause},
+	{"hang-up", (*testbed).hangUp},
+	{"store proxy", (*testbed).proxyFault},
+	{"store proxy", (*testbed).proxyFault},
+	{"store", (*testbed).storeFault},
+	{"drain", (*testbed).drainUpstream},
+	{"drain", (*testbed).drainUpstream},
+	{"silent upstream", (*testbed).silenceUpstream},
+	{"crash", (*testbed).crashUpstream},
+	{"cut to upstream", (*testbed).blockUpstream},
+	{"routes", (*testbed).routeBurst},
+	{"routes", (*testbed).routeBurst},
+	{"kill all", (*testbed).killAll},
+}
+
+// injectFaults starts faults at random intervals for the duration of the plan, and returns
+// once the active ones have ended.
+func (t *testbed) injectFaults(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	for end := time.Now().Add(w.plan.For); time.Now().Before(end) && ctx.Err() == nil; {
-		f := faults[w.dice.upTo(len(faults))]
-		wg.Go(func() { f.do(w, ctx) })
-		sleep(ctx, w.dice.between(leastPause, mostPause))
+	for end := time.Now().Add(t.plan.For); time.Now().Before(end) && ctx.Err() == nil; {
+		f := faults[t.rng.intN(len(faults))]
+		wg.Go(func() { f.inject(t, ctx) })
+		sleep(ctx, t.rng.between(minPause, maxPause))
 	}
 }
 
-// heal ends what goes on.
-func (w *world) heal() {
-	w.store.Fault(sparfake.Sound)
-	w.store.Slow(0)
-	for _, v := range w.vms {
+// endFaults ends all active faults.
+func (t *testbed) endFaults() {
+	t.store.Fault(sparfake.Sound)
+	t.store.Slow(0)
+	for _, v := range t.vms {
 		v.signal(syscall.SIGCONT)
-		v.proxy.set(passes)
+		v.proxy.setMode(passThrough)
 	}
-	w.mu.Lock()
-	clear(w.cuts)
-	w.mu.Unlock()
-	w.note("no more faults")
+	t.mu.Lock()
+	clear(t.blocked)
+	t.mu.Unlock()
+	t.reportFault("no more faults")
 }
 
-func (w *world) anyVM() *vm { return w.vms[w.dice.upTo(len(w.vms))] }
+func (t *testbed) anyVM() *vm { return t.vms[t.rng.intN(len(t.vms))] }
 
-func (w *world) faultTime() time.Duration { return w.dice.between(leastFault, mostFault) }
+func (t *testbed) faultTime() time.Duration { return t.rng.between(minFault, maxFault) }
 
-// plannedRestart is no fault: no flow may break by it. It spares a VM at work on
-// another one, and leaves half of the VMs.
-func (w *world) plannedRestart(context.Context) {
-	v := w.anyVM()
-	if !w.trouble.calmFor(0, v.name) || len(w.fabric.rotation()) <= len(w.vms)/2+1 {
+// plannedRestart is not a fault: no flow may break because of it. It skips a VM that another
+// fault affects, and does nothing where it would leave half of the VMs or fewer in rotation.
+func (t *testbed) plannedRestart(context.Context) {
+	v := t.anyVM()
+	if !t.faultLog.stableFor(0, v.name) || len(t.fabric.rotation()) <= len(t.vms)/2+1 {
 		return
 	}
-	w.note("SIGTERM %s", v.name)
+	t.reportFault("SIGTERM %s", v.name)
 	v.restart(syscall.SIGTERM)
 }
 
-func (w *world) kill(context.Context) {
-	v := w.anyVM()
-	defer w.trouble.begin(v.name)()
-	w.note("SIGKILL %s", v.name)
+func (t *testbed) kill(context.Context) {
+	v := t.anyVM()
+	defer t.faultLog.begin(v.name)()
+	t.reportFault("SIGKILL %s", v.name)
 	v.restart(syscall.SIGKILL)
 }
 
-func (w *world) killAll(context.Context) {
-	w.note("SIGKILL all VMs")
+func (t *testbed) killAll(context.Context) {
+	t.reportFault("SIGKILL all VMs")
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	for _, v := range w.vms {
+	for _, v := range t.vms {
 		wg.Go(func() {
-			defer w.trouble.begin(v.name)()
+			defer t.faultLog.begin(v.name)()
 			v.restart(syscall.SIGKILL)
 		})
 	}
 }
 
-func (w *world) pause(ctx context.Context) {
-	v, d := w.anyVM(), w.faultTime()
-	defer w.trouble.begin(v.name)()
-	w.note("SIGSTOP %s for %v", v.name, d)
+func (t *testbed) pause(ctx context.Context) {
+	v, d := t.anyVM(), t.faultTime()
+	defer t.faultLog.begin(v.name)()
+	t.reportFault("SIGSTOP %s for %v", v.name, d)
 	v.signal(syscall.SIGSTOP)
 	sleep(ctx, d)
 	v.signal(syscall.SIGCONT)
 }
 
-// hangUp spares a process in its first moments: no program handles a signal before it
+// hangUp skips a process that has just started: no program handles SIGHUP before its code
 // runs.
-func (w *world) hangUp(context.Context) {
-	v := w.anyVM()
-	if !v.started() {
+func (t *testbed) hangUp(context.Context) {
+	v := t.anyVM()
+	if !v.handlesSignals() {
 		return
 	}
-	w.note("SIGHUP %s", v.name)
+	t.reportFault("SIGHUP %s", v.name)
 	v.signal(syscall.SIGHUP)
 }
 
-func (w *world) harmProxy(ctx context.Context) {
-	v, d := w.anyVM(), w.faultTime()
-	how := []way{delays, resets, swallows, silences}[w.dice.upTo(4)]
-	defer w.trouble.begin(v.name)()
-	w.note("store proxy of %s: %s for %v", v.name, [...]string{"", "delays", "resets", "swallows answers", "silences"}[how], d)
-	v.proxy.set(how)
+func (t *testbed) proxyFault(ctx context.Context) {
+	v, d := t.anyVM(), t.faultTime()
+	m := []mode{delays, resets, dropsResponses, dropsAll}[t.rng.intN(4)]
+	defer t.faultLog.begin(v.name)()
+	t.reportFault("store proxy of %s: %s for %v", v.name, [...]string{"", "delays", "resets", "swallows answers", "silences"}[m], d)
+	v.proxy.setMode(m)
 	sleep(ctx, d)
-	v.proxy.set(passes)
+	v.proxy.setMode(passThrough)
 }
 
-func (w *world) harmStore(ctx context.Context) {
-	d := w.faultTime()
-	how := []sparfake.Fault{sparfake.Refuses, sparfake.Busy, sparfake.Resets, sparfake.Silent, sparfake.Loses, sparfake.Garbles}[w.dice.upTo(6)]
-	defer w.trouble.begin(storeParty)()
-	w.note("store fault %d for %v", how, d)
-	w.store.Fault(how)
+func (t *testbed) storeFault(ctx context.Context) {
+	d := t.faultTime()
+	f := []sparfake.Fault{sparfake.Refuses, sparfake.Busy, sparfake.Resets, sparfake.Silent, sparfake.LosesResponses, sparfake.Garbles}[t.rng.intN(6)]
+	defer t.faultLog.begin(storeParty)()
+	t.reportFault("store fault %d for %v", f, d)
+	t.store.Fault(f)
 	sleep(ctx, d)
-	w.store.Fault(sparfake.Sound)
+	t.store.Fault(sparfake.Sound)
 }
 
-// drain replaces an upstream: another one starts, this one says that it leaves, serves
-// on for a while and ends.
-func (w *world) drain(ctx context.Context) {
-	service := []string{booking, booking, receipts}[w.dice.upTo(3)]
-	if err := w.addServer(service); err != nil {
-		w.note("no upstream added: %v", err)
+// drainUpstream replaces an upstream: a new one starts, then the old one announces its drain,
+// serves for drainTime and stops.
+func (t *testbed) drainUpstream(ctx context.Context) {
+	service := []string{booking, booking, receipts}[t.rng.intN(3)]
+	if err := t.addServer(service); err != nil {
+		t.reportFault("no upstream added: %v", err)
 		return
 	}
-	list := w.live(service)
-	s := list[w.dice.upTo(len(list))]
-	w.note("upstream %x drains", s.ID)
+	list := t.live(service)
+	s := list[t.rng.intN(len(list))]
+	t.reportFault("upstream %x drains", s.ID)
 	s.Drain()
-	w.list(s)
-	w.checks.leaving(s)
+	t.register(s)
+	t.checker.drainStarted(s)
 	sleep(ctx, drainTime)
-	w.trouble.touch(s.At.String())
-	w.endServer(s)
+	t.faultLog.record(s.At.String())
+	t.endServer(s)
 }
 
-func (w *world) silence(ctx context.Context) {
-	list := w.live(booking)
-	s, d := list[w.dice.upTo(len(list))], w.faultTime()
-	defer w.trouble.begin(s.At.String())()
-	w.note("upstream %x is silent for %v", s.ID, d)
-	s.Silence(true)
+func (t *testbed) silenceUpstream(ctx context.Context) {
+	list := t.live(booking)
+	s, d := list[t.rng.intN(len(list))], t.faultTime()
+	defer t.faultLog.begin(s.At.String())()
+	t.reportFault("upstream %x is silent for %v", s.ID, d)
+	s.SetSilent(true)
 	sleep(ctx, d)
-	s.Silence(false)
+	s.SetSilent(false)
 }
 
-// crash ends an upstream without a word; its entry lapses later.
-func (w *world) crash(ctx context.Context) {
-	list := w.live(booking)
-	if len(list) <= w.plan.Upstreams/2 {
+// crashUpstream makes an upstream unresponsive without notice. Its entry is removed later,
+// as by an expired lease.
+func (t *testbed) crashUpstream(ctx context.Context) {
+	list := t.live(booking)
+	if len(list) <= t.plan.Upstreams/2 {
 		return
 	}
-	s := list[w.dice.upTo(len(list))]
-	end := w.trouble.begin(s.At.String())
+	s := list[t.rng.intN(len(list))]
+	end := t.faultLog.begin(s.At.String())
 	defer end()
-	w.note("upstream %x crashes", s.ID)
-	s.Silence(true)
-	sleep(ctx, mostFault)
-	w.endServer(s)
-	if err := w.addServer(booking); err != nil {
-		w.note("no upstream added: %v", err)
+	t.reportFault("upstream %x crashes", s.ID)
+	s.SetSilent(true)
+	sleep(ctx, maxFault)
+	t.endServer(s)
+	if err := t.addServer(booking); err != nil {
+		t.reportFault("no upstream added: %v", err)
 	}
 }
 
-// cutUpstream is no excuse for a broken flow: both parties are in reach of all others.
-func (w *world) cutUpstream(ctx context.Context) {
-	list := w.live(booking)
-	v, s, d := w.anyVM(), list[w.dice.upTo(len(list))], w.faultTime()
-	w.note("packets of %s do not reach upstream %x for %v", v.name, s.ID, d)
-	w.setCut(cut{v.data, s.ID}, true)
+// blockUpstream drops the packets from one VM to one upstream. It is not entered in the fault
+// log: all other paths of both work, so no flow may break because of it.
+func (t *testbed) blockUpstream(ctx context.Context) {
+	list := t.live(booking)
+	v, s, d := t.anyVM(), list[t.rng.intN(len(list))], t.faultTime()
+	t.reportFault("packets of %s do not reach upstream %x for %v", v.name, s.ID, d)
+	t.setBlocked(link{v.data, s.ID}, true)
 	sleep(ctx, d)
-	w.setCut(cut{v.data, s.ID}, false)
+	t.setBlocked(link{v.data, s.ID}, false)
 }
 
-func (w *world) setCut(c cut, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cuts[c] = on
+func (t *testbed) setBlocked(l link, on bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.blocked[l] = on
 }
 
-// storm changes routes a few times in a row.
-func (w *world) storm(ctx context.Context) {
-	for range 1 + w.dice.upTo(5) {
-		w.changeRoutes()
-		sleep(ctx, w.dice.between(10*time.Millisecond, 300*time.Millisecond))
+// routeBurst changes routes a few times in quick succession.
+func (t *testbed) routeBurst(ctx context.Context) {
+	for range 1 + t.rng.intN(5) {
+		t.changeRoutes()
+		sleep(ctx, t.rng.between(10*time.Millisecond, 300*time.Millisecond))
 	}
-	w.note("routes changed")
+	t.reportFault("routes changed")
 }
--- a/internal/proof/sparsoak/process.go
+++ b/internal/proof/sparsoak/process.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// stopWait bounds a graceful stop: the grace of the settings.
-	stopWait = 4 * time.Second
-	// startTime is how long a process needs, on a busy machine, until it handles signals.
-	startTime = 300 * time.Millisecond
+	// stopTimeout bounds a graceful stop. It is the grace period in the settings of the VMs.
+	stopTimeout = 4 * time.Second
+	// startupTime is how long a process needs, on a busy machine, before it handles signals.
+	startupTime = 300 * time.Millisecond
 )
 
-// vm is one entry VM. Its process is started again after each end.
+// vm is one entry VM. Its process is started again whenever a fault ends it.
 type vm struct {
-	world   *world
+	testbed *testbed
 	name    string
-	file    string // settings
+	file    string // path of the settings
 	data    netip.AddrPort
 	ready   string
 	control string
 	proxy   *proxy
 	log     *os.File
 
-	life   sync.Mutex // held while the process is ended and started again
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	began  time.Time // of the process
-	wanted bool      // an end of the process is expected
-	paused bool
+	restarting   sync.Mutex // held during a restart, so that two faults do not restart one VM at once
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	startedAt    time.Time // when the process started
+	exitExpected bool      // SIGTERM or SIGKILL was sent
+	paused       bool
 }
 
-// settings returns the settings file of a VM.
+// settings returns the text of the settings file.
 func (v *vm) settings(control, platform string, seeds []string) string {
 	list := ""
 	for i, s := range seeds {
@@ -56,57 +56,57 @@
 	"carrier": %q, "name": %q, "domain": %q, "data": %q, "ready": %q, "control": %q,
 	"platform": %q, "seeds": [%s], "force": %d, "grace": %d, "log": "json"
 }
-`, sparconfig.Cookie, v.name, v.domain(), v.data, v.ready, control, platform, list, Force.Milliseconds(), int(stopWait.Seconds()))
+`, sparconfig.Cookie, v.name, v.domain(), v.data, v.ready, control, platform, list, Force.Milliseconds(), int(stopTimeout.Seconds()))
 }
 
-func (v *vm) domain() string { return v.world.domains[v.data] }
+func (v *vm) domain() string { return v.testbed.domains[v.data] }
 
-// start runs the program.
+// start starts the process.
 func (v *vm) start() (err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.cmd = exec.Command(v.world.plan.Program, v.file)
+	v.cmd = exec.Command(v.testbed.plan.Program, v.file)
 	if v.log != nil {
 		v.cmd.Stdout, v.cmd.Stderr = v.log, v.log
 	}
 	if err := v.cmd.Start(); err != nil {
 		return errors.Trace(err)
 	}
-	v.wanted, v.exited, v.began = false, make(chan struct{}), time.Now()
+	v.exitExpected, v.exited, v.startedAt = false, make(chan struct{}), time.Now()
 	go v.wait(v.cmd, v.exited)
 	return nil
 }
 
-// wait notes how the process ends.
+// wait waits for the process to exit and reports an unexpected exit.
 func (v *vm) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	v.mu.Lock()
-	wanted := v.wanted
+	exitExpected := v.exitExpected
 	v.mu.Unlock()
-	if !wanted {
-		v.world.checks.broken("EXIT", "%s ended by itself: %v", v.name, err)
+	if !exitExpected {
+		v.testbed.checker.violated("EXIT", "%s ended by itself: %v", v.name, err)
 	}
 	close(exited)
 }
 
-// signal sends a signal to the process of this VM.
+// signal sends s to the process.
 func (v *vm) signal(s syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.wanted = v.wanted || s == syscall.SIGKILL || s == syscall.SIGTERM
+	v.exitExpected = v.exitExpected || s == syscall.SIGKILL || s == syscall.SIGTERM
 	v.paused = s == syscall.SIGSTOP || v.paused && s != syscall.SIGCONT && s != syscall.SIGKILL
-	_ = v.cmd.Process.Signal(s) // it may have ended
+	_ = v.cmd.Process.Signal(s) // the process may have exited
 }
 
-// started reports whether the process has run for long enough to handle signals.
-func (v *vm) started() bool {
+// handlesSignals reports whether the process has run long enough to handle signals.
+func (v *vm) handlesSignals() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return time.Since(v.began) > startTime
+	return time.Since(v.startedAt) > startupTime
 }
 
-// gone waits until the process has ended and reports whether it did in time.
-func (v *vm) gone(within time.Duration) bool {
+// waitExit reports whether the process exits within a time.
+func (v *vm) waitExit(within time.Duration) bool {
 	v.mu.Lock()
 	exited := v.exited
 	v.mu.Unlock()
@@ -118,31 +118,32 @@
 	}
 }
 
-// restart ends the process by a signal and starts it again.
+// restart stops the process with s, or with SIGKILL if it does not exit in time, and
+// starts it again.
 func (v *vm) restart(s syscall.Signal) {
-	v.life.Lock()
-	defer v.life.Unlock()
-	began := time.Now()
+	v.restarting.Lock()
+	defer v.restarting.Unlock()
+	signaledAt := time.Now()
 	v.signal(s)
-	if !v.gone(stopWait) {
-		if s == syscall.SIGTERM && v.world.trouble.calmFor(time.Since(began), v.name) {
-			v.world.checks.broken("STOP", "%s has not stopped %v after SIGTERM", v.name, stopWait)
+	if !v.waitExit(stopTimeout) {
+		if s == syscall.SIGTERM && v.testbed.faultLog.stableFor(time.Since(signaledAt), v.name) {
+			v.testbed.checker.violated("STOP", "%s has not stopped %v after SIGTERM", v.name, stopTimeout)
 		}
 		v.signal(syscall.SIGKILL)
-		v.gone(stopWait)
+		v.waitExit(stopTimeout)
 	}
 	if err := v.start(); err != nil {
-		v.world.checks.broken("START", "%s: %v", v.name, err)
+		v.testbed.checker.violated("START", "%s: %v", v.name, err)
 	}
 }
 
-// end kills the process for good.
-func (v *vm) end() {
+// kill stops the process for good.
+func (v *vm) kill() {
 	v.signal(syscall.SIGCONT)
 	v.signal(syscall.SIGKILL)
-	v.gone(stopWait)
+	v.waitExit(stopTimeout)
 	if v.log != nil {
-		_ = v.log.Close() // kept lines were written by the process itself
+		_ = v.log.Close() // the process itself wrote the lines
 	}
 }
 
--- a/internal/proof/sparsoak/proxy.go
+++ b/internal/proof/sparsoak/proxy.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Ways of a proxy.
+// Modes of a proxy.
 const (
-	passes   way = iota
-	delays       // each piece waits
-	resets       // connections end at once
-	swallows     // requests arrive, answers are lost
-	silences     // nothing arrives on either side, connections stay open
+	passThrough    mode = iota
+	delays              // each chunk is delayed
+	resets              // connections are reset
+	dropsResponses      // requests arrive, responses are dropped
+	dropsAll            // nothing arrives in either direction, connections stay open
 )
 
 const (
 	delay     = 250 * time.Millisecond
-	pieceSize = 16 << 10
+	chunkSize = 16 << 10
 )
 
 type (
-	way int
+	mode int
 
-	// proxy stands between one VM and the store.
+	// proxy forwards TCP connections from one VM to the store, with the faults of its mode.
 	proxy struct {
 		listener net.Listener
 		target   string
 
 		mu    sync.Mutex
-		way   way
+		mode  mode
 		conns map[net.Conn]bool
 	}
 )
@@ -47,12 +47,12 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the way. Open connections follow it too.
-func (p *proxy) set(w way) {
+// setMode changes the mode, also for open connections.
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.way = w
-	if w != resets {
+	p.mode = m
+	if m != resets {
 		return
 	}
 	for c := range p.conns {
@@ -60,10 +60,10 @@
 	}
 }
 
-func (p *proxy) current() way {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.way
+	return p.mode
 }
 
 func (p *proxy) run() {
@@ -72,7 +72,7 @@
 		if err != nil {
 			return
 		}
-		if p.current() == resets {
+		if p.currentMode() == resets {
 			reset(c)
 			continue
 		}
@@ -93,43 +93,43 @@
 	p.copy(c, s, true)
 }
 
-// copy moves bytes one way until either end is closed.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
-	defer p.forget(to, from)
-	piece := make([]byte, pieceSize)
+// copy forwards bytes in one direction until either connection is closed.
+func (p *proxy) copy(to, from net.Conn, responses bool) {
+	defer p.closeConns(to, from)
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(chunk)
 		if err != nil {
 			return
 		}
-		switch w := p.current(); {
-		case w == silences, w == swallows && answers:
-			_, _ = io.Copy(io.Discard, from) // until the other side gives up
+		switch m := p.currentMode(); {
+		case m == dropsAll, m == dropsResponses && responses:
+			_, _ = io.Copy(io.Discard, from) // until the sender closes the connection
 			return
-		case w == delays:
+		case m == delays:
 			time.Sleep(delay)
 		}
-		if _, err := to.Write(piece[:n]); err != nil {
+		if _, err := to.Write(chunk[:n]); err != nil {
 			return
 		}
 	}
 }
 
-func (p *proxy) forget(conns ...net.Conn) {
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
 		delete(p.conns, c)
-		_ = c.Close() // nobody reads it any more
+		_ = c.Close() // the other end may have closed it
 	}
 }
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(resets)
+	p.setMode(resets)
 }
 
-// reset ends a connection with RST.
+// reset closes a connection with RST.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/proof/sparsoak/soak.go
+++ b/internal/proof/sparsoak/soak.go
@@ -1,17 +1,18 @@
-// Package sparsoak runs entry VMs as processes on loopback and harms them from outside,
-// by a seed, while it checks what callers and upstreams see.
+// Package sparsoak runs entry VMs as processes on loopback and injects faults from outside,
+// chosen by a seed, while it checks invariants on what clients and upstreams observe.
 //
-// VMs are the real program. The platform's store, the fabric, callers and upstreams are
-// stand-ins in this process; between each VM and the store stands a proxy. Signals,
-// restarts, settings and faults come in series and overlap:
+// The VMs run the real program. The platform's store, the fabric, the clients and the
+// upstreams are fakes in this process, with a proxy between each VM and the store. Faults
+// are signals, restarts, changes of settings, and failures of the store and of upstreams;
+// they follow each other and overlap:
 //
 //	report, err := sparsoak.Run(ctx, sparsoak.Plan{Program: path, Seed: 7, For: 20 * time.Second})
-//	for _, b := range report.Broken {
-//		fmt.Println(b.Rule, b.Text)
+//	for _, v := range report.Broken {
+//		fmt.Println(v.Rule, v.Text)
 //	}
 //
-// A promise with a time bound is held against parties that were left alone for a
-// while. It ends only processes that it started.
+// An invariant with a time bound is checked only on parties that had no fault for a
+// while. A run signals only processes that it started.
 package sparsoak
 
 import (
@@ -28,58 +29,59 @@
 )
 
 const (
-	// Force is the time within which settings must be in force everywhere, and a
-	// draining upstream must get no openings any more.
+	// Force is the time within which settings must be in force on all VMs, and a draining
+	// upstream must stop receiving new flows.
 	Force = 3 * time.Second
-	// calm is how long a party must have been left alone for a bound to hold.
-	calm = 4 * time.Second
-	// recovery is the time after the last fault within which service must be back.
-	recovery = 10 * time.Second
-	// tail is how long service is measured after that.
-	tail = 4 * time.Second
-	// leastServed is the share of requests that must be served then.
-	leastServed = 0.95
-	// stall is a delay of this process that counts as a fault of the whole machine.
-	stall = 300 * time.Millisecond
+	// stableTime is how long a party must have had no fault for a time bound to apply.
+	stableTime = 4 * time.Second
+	// recoveryTime is the time after the last fault within which service must recover.
+	recoveryTime = 10 * time.Second
+	// measureTime is how long service is measured after recoveryTime.
+	measureTime = 4 * time.Second
+	// minServed is the fraction of requests that must be served during measureTime.
+	minServed = 0.95
+	// stallTime is a scheduling delay of this process that counts as a fault of the whole
+	// machine.
+	stallTime = 300 * time.Millisecond
 )
 
 type (
-	// Plan says what to run.
+	// Plan is the configuration of a run.
 	Plan struct {
-		Program   string        // of an entry VM
-		Seed      uint64        // of faults and callers
-		For       time.Duration // how long faults go on
+		Program   string        // path of the entry VM binary
+		Seed      uint64        // of the faults and the clients
+		For       time.Duration // how long faults are injected
 		VMs       int           // default 6
-		Upstreams int           // of the larger service, default 6
-		Users     int           // default 24
-		Keep      string        // directory for the logs of VMs, "" for none
+		Upstreams int           // of the service booking, default 6
+		Users     int           // concurrent users that open flows, default 24
+		Keep      string        // directory for the logs of the VMs, empty for none
 		Progress  func(line string)
 	}
 
-	// Break is a promise that was not kept.
-	Break struct {
+	// Violation is a case in which an invariant did not hold.
+	Violation struct {
 		Rule string  `json:"rule"`
-		At   float64 `json:"at"` // seconds from the start
+		At   float64 `json:"at"` // seconds since the start of the run
 		Text string  `json:"text"`
 	}
 
-	// Report is what a run saw.
+	// Report is the outcome of a run.
 	Report struct {
-		Seed     uint64   `json:"seed"`
-		Requests int      `json:"requests"`
-		Served   int      `json:"served"`
-		Resets   int      `json:"resets"`
-		Timeouts int      `json:"timeouts"`
-		Ran      int      `json:"ran"`
-		Openings int      `json:"openings"`
-		Calls    int      `json:"calls"` // to the store
-		Words    int      `json:"words"` // of status that were checked
-		Faults   []string `json:"faults"`
-		Broken   []Break  `json:"broken"`
+		Seed     uint64      `json:"seed"`
+		Requests int         `json:"requests"`
+		Served   int         `json:"served"`
+		Resets   int         `json:"resets"`
+		Timeouts int         `json:"timeouts"`
+		Ran      int         `json:"ran"`
+		Openings int         `json:"openings"`
+		Calls    int         `json:"calls"` // of the VMs to the store
+		Words    int         `json:"words"` // status replies that were checked
+		Faults   []string    `json:"faults"`
+		Broken   []Violation `json:"broken"`
 	}
 )
 
-// Run plays one plan. The error says that the run itself could not be made.
+// Run executes one plan. An error means that the run itself could not be set up.
 func Run(ctx context.Context, p Plan) (report Report, err error) {
 	defer func() {
 		if err != nil {
@@ -87,34 +89,34 @@
 		}
 	}()
 	p = p.withDefaults()
-	w, err := newWorld(p)
+	t, err := newTestbed(p)
 	if err != nil {
 		return Report{}, err
 	}
-	defer w.close()
+	defer t.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { w.fabric.probe(ctx) })
-	wg.Go(func() { w.watchStalls(ctx) })
-	if err := w.settleIn(ctx); err != nil {
+	wg.Go(func() { t.fabric.probe(ctx) })
+	wg.Go(func() { t.watchStalls(ctx) })
+	if err := t.waitReady(ctx); err != nil {
 		return Report{}, err
 	}
 	for n := range p.Users {
-		wg.Go(func() { w.user(ctx, n) })
+		wg.Go(func() { t.user(ctx, n) })
 	}
-	wg.Go(func() { w.tester(ctx) })
-	wg.Go(func() { w.statusAsker(ctx) })
-	w.harm(ctx)
-	w.heal()
-	sleep(ctx, recovery)
-	before := w.checks.snapshot()
-	sleep(ctx, tail)
-	w.checks.recovered(before)
-	report = w.checks.snapshot()
-	report.Seed, report.Calls = p.Seed, w.store.Calls()
+	wg.Go(func() { t.checkRoutes(ctx) })
+	wg.Go(func() { t.checkStatuses(ctx) })
+	t.injectFaults(ctx)
+	t.endFaults()
+	sleep(ctx, recoveryTime)
+	before := t.checker.snapshot()
+	sleep(ctx, measureTime)
+	t.checker.checkRecovery(before)
+	report = t.checker.snapshot()
+	report.Seed, report.Calls = p.Seed, t.store.Calls()
 	return report, nil
 }
 
@@ -133,13 +135,13 @@
 	return p
 }
 
-// Text returns the report as lines.
+// Text returns a summary line, followed by one line for each violation.
 func (r Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d of %d requests served, %d resets, %d timeouts, %d openings, %d words of status, %d faults, %d broken promises\n",
 		r.Seed, r.Served, r.Requests, r.Resets, r.Timeouts, r.Openings, r.Words, len(r.Faults), len(r.Broken))
-	for _, one := range r.Broken {
-		fmt.Fprintf(&b, "  %7.3f %s: %s\n", one.At, one.Rule, one.Text)
+	for _, v := range r.Broken {
+		fmt.Fprintf(&b, "  %7.3f %s: %s\n", v.At, v.Rule, v.Text)
 	}
 	return b.String()
 }
@@ -152,14 +154,14 @@
 	}
 }
 
-// watchStalls notices when this process itself was held up.
-func (w *world) watchStalls(ctx context.Context) {
+// watchStalls detects scheduling delays of this process.
+func (t *testbed) watchStalls(ctx context.Context) {
 	const every = 50 * time.Millisecond
 	for last := time.Now(); ctx.Err() == nil; {
 		sleep(ctx, every)
-		if now := time.Now(); now.Sub(last) > every+stall {
-			w.note("the machine stalled for %v", now.Sub(last).Round(time.Millisecond))
-			w.trouble.touchAll()
+		if now := time.Now(); now.Sub(last) > every+stallTime {
+			t.reportFault("the machine stalled for %v", now.Sub(last).Round(time.Millisecond))
+			t.faultLog.recordAll()
 			last = now
 		} else {
 			last = now
@@ -167,27 +169,27 @@
 	}
 }
 
-// dice is a source of randomness for several goroutines.
-type dice struct {
-	mu sync.Mutex
-	r  *rand.Rand
+// source is a random source for use by several goroutines.
+type source struct {
+	mu  sync.Mutex
+	src *rand.Rand
 }
 
-func newDice(seed, stream uint64) *dice { return &dice{r: rand.New(rand.NewPCG(seed, stream))} }
+func newSource(seed, stream uint64) *source { return &source{src: rand.New(rand.NewPCG(seed, stream))} }
 
-// upTo returns 0 to n-1.
-func (d *dice) upTo(n int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.r.IntN(n)
+// intN returns a number from 0 to n-1.
+func (s *source) intN(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.src.IntN(n)
 }
 
-// between returns a time between two.
-func (d *dice) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(d.upTo(int((b-a)/time.Millisecond)+1))*time.Millisecond
+// between returns a random duration from a to b, in whole milliseconds.
+func (s *source) between(a, b time.Duration) time.Duration {
+	return a + time.Duration(s.intN(int((b-a)/time.Millisecond)+1))*time.Millisecond
 }
 
-// logDir returns the directory for logs, made where it is wanted.
+// logDir creates and returns the directory for logs, if the plan has one.
 func (p Plan) logDir() (dir string, err error) {
 	if p.Keep == "" {
 		return "", nil
--- a/internal/proof/sparsoak/soak_test.go
+++ b/internal/proof/sparsoak/soak_test.go
@@ -9,24 +9,24 @@
 	"github.com/oleanderspar/oleanderspar/internal/proof/sparsoak"
 )
 
-// usual is how long faults go on in CI.
-const usual = 8 * time.Second
+// runTime is how long faults are injected in CI.
+const runTime = 8 * time.Second
 
-// seeds are those that ever failed, each with the cause that it showed.
+// seeds are those that have failed before, each with the cause of the failure.
 var seeds = []struct {
 	seed  uint64
 	cause string
-	more  time.Duration // than the usual time, until the fault came
+	more  time.Duration // added to runTime, where the failing fault came later
 }{
-	{1, "the stand-in server ran older data of a flow again", 0},
-	{2028, "SIGHUP came to a process in its first milliseconds, before any program can handle it", 0},
-	{2, "two faults restarted one VM at a time, and one of the two found its ports taken", 0},
-	{6105, "a VM that kept lapsed entries after an outage of its own told others of a revision without them", 8 * time.Second},
-	{6306, "the same, at a reader that others followed", 8 * time.Second},
+	{1, "the fake server ran older data of a flow again", 0},
+	{2028, "SIGHUP reached a process in its first milliseconds, before a program can handle it", 0},
+	{2, "two faults restarted one VM at once, and one of the two processes found its ports in use", 0},
+	{6105, "a VM that kept expired entries after its own outage reported a revision without them to other VMs", 8 * time.Second},
+	{6306, "the same, on a reader that other VMs follow", 8 * time.Second},
 }
 
-// TestSoak plays short runs. Its verdict rests on what callers and upstreams saw, not on
-// how fast it was.
+// TestSoak executes short runs. The result depends only on what clients and upstreams
+// observed, not on speed.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "sparentry")
 	build := exec.Command("go", "build", "-o", program, "github.com/oleanderspar/oleanderspar/cmd/sparentry")
@@ -36,7 +36,7 @@
 	for _, s := range seeds {
 		t.Run(s.cause, func(t *testing.T) {
 			t.Parallel()
-			report, err := sparsoak.Run(t.Context(), sparsoak.Plan{Program: program, Seed: s.seed, For: usual + s.more})
+			report, err := sparsoak.Run(t.Context(), sparsoak.Plan{Program: program, Seed: s.seed, For: runTime + s.more})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proof/sparsoak/status.go
+++ b/internal/proof/sparsoak/status.go
@@ -14,62 +14,62 @@
 )
 
 const (
-	askStatusEvery = 200 * time.Millisecond
-	askStatusTime  = time.Second
+	statusEvery   = 200 * time.Millisecond
+	statusTimeout = time.Second
 )
 
-// statusAsker asks one VM after the other what it knows, as the status command does, and
-// holds it against what the store had at the revision that the VM names.
-func (w *world) statusAsker(ctx context.Context) {
-	client := &http.Client{Timeout: askStatusTime}
-	d := newDice(w.plan.Seed, 3)
-	for ; ctx.Err() == nil; sleep(ctx, askStatusEvery) {
-		v := w.vms[d.upTo(len(w.vms))]
+// checkStatuses queries the state of random VMs, as the status command does, and compares
+// it with what the store held at the revision that the VM reports.
+func (t *testbed) checkStatuses(ctx context.Context) {
+	client := &http.Client{Timeout: statusTimeout}
+	rng := newSource(t.plan.Seed, 3)
+	for ; ctx.Err() == nil; sleep(ctx, statusEvery) {
+		v := t.vms[rng.intN(len(t.vms))]
 		facts, err := sparcontrol.Dial(v.control, client).Facts(ctx, &sparcontrol.FactsRequest{Id: v.name})
 		if err != nil {
-			continue // silence is no false word
+			continue // an unreachable VM reports nothing that could be wrong
 		}
-		w.checks.status(v, facts, w.store.History())
+		t.checker.checkStatus(v, facts, t.store.History())
 	}
 }
 
-// status checks the upstreams that a VM names. Entries of later revisions may be in it
-// already, and after an outage it keeps those that lapsed for a while.
-func (c *checks) status(v *vm, facts *sparcontrol.FactsReply, history []sparfake.Change) {
-	named := map[sparflow.Endpoint]bool{}
+// checkStatus checks the upstreams that a VM reports. They may already include entries of
+// later revisions, and after an outage the VM keeps expired entries for a while.
+func (c *checker) checkStatus(v *vm, facts *sparcontrol.FactsReply, history []sparfake.Change) {
+	reported := map[sparflow.Endpoint]bool{}
 	for _, s := range facts.Services {
 		for _, u := range s.Upstreams {
-			named[sparflow.Endpoint(u.At)] = true
+			reported[sparflow.Endpoint(u.At)] = true
 		}
 	}
-	listed, later := upstreamsAt(history, facts.Revision)
+	registered, later := upstreamsAt(history, facts.Revision)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Words++
 	if last := history[len(history)-1].Revision; facts.Revision > last {
-		c.add("STATUS", "%s names revision %d, the store is at %d", v.name, facts.Revision, last)
+		c.addViolation("STATUS", "%s names revision %d, the store is at %d", v.name, facts.Revision, last)
 	}
-	for at, key := range listed {
-		if !named[at] && !later[key] {
-			c.add("STATUS", "%s leaves upstream %s out at revision %d", v.name, at, facts.Revision)
+	for at, key := range registered {
+		if !reported[at] && !later[key] {
+			c.addViolation("STATUS", "%s leaves upstream %s out at revision %d", v.name, at, facts.Revision)
 		}
-		delete(named, at)
+		delete(reported, at)
 	}
-	if !c.world.trouble.calm(v.name, storeParty) {
+	if !c.testbed.faultLog.stable(v.name, storeParty) {
 		return
 	}
-	for at := range named {
+	for at := range reported {
 		if !later[fmt.Sprint(at)] {
-			c.add("STATUS", "%s names upstream %s at revision %d, which had no such entry", v.name, at, facts.Revision)
+			c.addViolation("STATUS", "%s names upstream %s at revision %d, which had no such entry", v.name, at, facts.Revision)
 		}
 	}
 }
 
-// upstreamsAt returns the upstreams of the store at a revision with their keys, and the
-// keys and addresses that changed later.
-func upstreamsAt(history []sparfake.Change, revision uint64) (listed map[sparflow.Endpoint]string, later map[string]bool) {
-	listed, later = map[sparflow.Endpoint]string{}, map[string]bool{}
-	held := map[string]sparflow.Endpoint{}
+// upstreamsAt returns the upstreams that the store held at a revision, with their keys,
+// and the keys and addresses that changed later.
+func upstreamsAt(history []sparfake.Change, revision uint64) (registered map[sparflow.Endpoint]string, later map[string]bool) {
+	registered, later = map[sparflow.Endpoint]string{}, map[string]bool{}
+	byKey := map[string]sparflow.Endpoint{}
 	for _, change := range history {
 		key := sparroster.UpstreamPrefix + change.Upstream()
 		if change.Upstream() == "" {
@@ -84,10 +84,10 @@
 			}
 			continue
 		}
-		delete(listed, held[key])
+		delete(registered, byKey[key])
 		if err == nil && ok && !change.Removed {
-			listed[u.At], held[key] = key, u.At
+			registered[u.At], byKey[key] = key, u.At
 		}
 	}
-	return listed, later
+	return registered, later
 }
--- a/internal/proof/sparsoak/users.go
+++ b/internal/proof/sparsoak/users.go
@@ -13,58 +13,59 @@
 )
 
 const (
-	patience    = 2 * time.Second
-	testEvery   = 100 * time.Millisecond
-	maxRequests = 12 // on one flow
+	responseTimeout = 2 * time.Second
+	routeCheckEvery = 100 * time.Millisecond
+	maxRequests     = 12 // on each flow
 )
 
-// user opens flows and uses each until it ends.
-func (w *world) user(ctx context.Context, n int) {
-	d := newDice(w.plan.Seed, uint64(100+n))
-	caller := w.callers[n%len(w.callers)]
+// user opens flows one after the other and sends requests on each.
+func (t *testbed) user(ctx context.Context, n int) {
+	rng := newSource(t.plan.Seed, uint64(100+n))
+	client := t.clients[n%len(t.clients)]
 	for serial := 0; ctx.Err() == nil; serial++ {
-		route := []sparflow.Endpoint{watchRoute, watchRoute, holdRoute, sheetRoute}[d.upTo(4)]
-		w.checks.count(func(r *Report) { r.Requests++ })
-		f, err := caller.Open(route)
+		route := []sparflow.Endpoint{repeatableRoute, repeatableRoute, onceRoute, receiptsRoute}[rng.intN(4)]
+		t.checker.count(func(r *Report) { r.Requests++ })
+		f, err := client.Open(route)
 		if err != nil {
-			w.failed(err)
-			sleep(ctx, d.between(10*time.Millisecond, 100*time.Millisecond))
+			t.countFailure(err)
+			sleep(ctx, rng.between(10*time.Millisecond, 100*time.Millisecond))
 			continue
 		}
-		w.use(ctx, d, f, fmt.Sprintf("%d-%d", n, serial))
+		t.sendRequests(ctx, rng, f, fmt.Sprintf("%d-%d", n, serial))
 	}
 }
 
-// use sends requests on one flow. The first was counted with its opening.
-func (w *world) use(ctx context.Context, d *dice, f *sparfake.Flow, name string) {
-	_, route := f.Name()
-	for k := range 1 + d.upTo(maxRequests) {
+// sendRequests sends requests on one flow. The caller has counted the first one when it
+// opened the flow.
+func (t *testbed) sendRequests(ctx context.Context, rng *source, f *sparfake.Flow, name string) {
+	_, route := f.Ends()
+	for k := range 1 + rng.intN(maxRequests) {
 		if k > 0 {
-			w.checks.count(func(r *Report) { r.Requests++ })
+			t.checker.count(func(r *Report) { r.Requests++ })
 		}
 		request := fmt.Sprintf("%s-%d", name, k)
-		answer, err := f.Ask(request, patience)
+		response, err := f.Do(request, responseTimeout)
 		switch {
 		case errors.Is(err, sparfake.ErrClosed):
-			w.checks.count(func(r *Report) { r.Requests-- }) // not sent
+			t.checker.count(func(r *Report) { r.Requests-- }) // the request was not sent
 			f.Close()
 			return
 		case errors.Is(err, sparfake.ErrReset):
-			w.checks.reset(f)
+			t.checker.checkReset(f)
 			return
 		case err != nil:
-			w.failed(err)
+			t.countFailure(err)
 			f.Close()
 			return
 		}
-		w.checks.answered(route, request, answer)
-		sleep(ctx, d.between(5*time.Millisecond, 300*time.Millisecond))
+		t.checker.checkResponse(route, request, response)
+		sleep(ctx, rng.between(5*time.Millisecond, 300*time.Millisecond))
 	}
 	f.Close()
 }
 
-func (w *world) failed(err error) {
-	w.checks.count(func(r *Report) {
+func (t *testbed) countFailure(err error) {
+	t.checker.count(func(r *Report) {
 		if errors.Is(err, sparfake.ErrTimeout) {
 			r.Timeouts++
 		} else {
@@ -73,86 +74,87 @@
 	})
 }
 
-// operator is the writer of routes.
+// operator holds the routes that the test bed writes to the store.
 type operator struct {
 	mu      sync.Mutex
 	version uint64
 	routes  []sparfake.Route
-	extra   uint16
-	changed map[sparflow.Endpoint]change
+	added   uint16 // number of routes added during the run
+	changed map[sparflow.Endpoint]routeChange
 }
 
-// change is a route that came or went.
-type change struct {
-	at   time.Time // the store's acknowledgement
-	here bool
+// routeChange is the latest addition or removal of a route.
+type routeChange struct {
+	at      time.Time // when the store accepted it
+	present bool      // added, not removed
 }
 
-// publish writes the routes as they stand.
-func (w *world) publish() {
-	o := &w.operator
-	o.version += 1 + uint64(w.dice.upTo(3))
-	w.store.Put(sparfake.RoutingKey, sparfake.Routing(o.version, o.routes))
+// publish writes the current routes under a new version.
+func (t *testbed) publish() {
+	o := &t.operator
+	o.version += 1 + uint64(t.rng.intN(3))
+	t.store.Put(sparfake.RoutingKey, sparfake.Routing(o.version, o.routes))
 }
 
-// changeRoutes adds a route, or takes one of those away that were added.
-func (w *world) changeRoutes() {
-	o := &w.operator
+// changeRoutes adds a route, or removes one that an earlier call added.
+func (t *testbed) changeRoutes() {
+	o := &t.operator
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.changed == nil {
-		o.changed = map[sparflow.Endpoint]change{}
+		o.changed = map[sparflow.Endpoint]routeChange{}
 	}
-	at, here := sparflow.MakeEndpoint(0xc6120001, extraRoute+o.extra), true
-	if extras := o.routes[3:]; len(extras) > 0 && w.dice.upTo(2) == 0 {
-		gone := w.dice.upTo(len(extras))
-		at, here = extras[gone].At, false
-		o.routes = append(o.routes[:3+gone:3+gone], extras[gone+1:]...)
+	at, present := sparflow.MakeEndpoint(0xc6120001, extraPort+o.added), true
+	if extras := o.routes[3:]; len(extras) > 0 && t.rng.intN(2) == 0 {
+		removed := t.rng.intN(len(extras))
+		at, present = extras[removed].At, false
+		o.routes = append(o.routes[:3+removed:3+removed], extras[removed+1:]...)
 	} else {
-		o.extra++
+		o.added++
 		o.routes = append(o.routes, sparfake.Route{At: at, Service: booking})
 	}
-	w.publish()
-	o.changed[at] = change{at: time.Now(), here: here}
+	t.publish()
+	o.changed[at] = routeChange{at: time.Now(), present: present}
 }
 
-// tester opens flows to routes that came or went, through one VM after the other.
-func (w *world) tester(ctx context.Context) {
-	d := newDice(w.plan.Seed, 2)
+// checkRoutes opens flows to changed routes, each through a random VM, once the change
+// must be in force.
+func (t *testbed) checkRoutes(ctx context.Context) {
+	rng := newSource(t.plan.Seed, 2)
 	for ctx.Err() == nil {
-		sleep(ctx, testEvery)
-		w.operator.mu.Lock()
-		due := map[sparflow.Endpoint]change{}
-		for at, c := range w.operator.changed {
+		sleep(ctx, routeCheckEvery)
+		t.operator.mu.Lock()
+		due := map[sparflow.Endpoint]routeChange{}
+		for at, c := range t.operator.changed {
 			if time.Since(c.at) > Force {
 				due[at] = c
 			}
 		}
-		w.operator.mu.Unlock()
+		t.operator.mu.Unlock()
 		for at, c := range due {
-			w.test(w.vms[d.upTo(len(w.vms))], at, c)
+			t.checkRoute(t.vms[rng.intN(len(t.vms))], at, c)
 			break
 		}
 	}
 }
 
-// test checks that one VM acts on a change. The opening is in force at its first
-// packet, so the change must not be overtaken meanwhile.
-func (w *world) test(v *vm, at sparflow.Endpoint, c change) {
-	f, err := w.testers[v].Open(at)
+// checkRoute checks that one VM has applied a change. The settings in force when the SYN
+// arrives apply to the flow, so the result counts only if the route did not change meanwhile.
+func (t *testbed) checkRoute(v *vm, at sparflow.Endpoint, c routeChange) {
+	f, err := t.vmClients[v].Open(at)
 	if f != nil {
 		f.Close()
 	}
-	w.operator.mu.Lock()
-	same := w.operator.changed[at] == c
-	w.operator.mu.Unlock()
-	if !same || !w.trouble.calmFor(calm+patience, v.name, storeParty) {
+	t.operator.mu.Lock()
+	same := t.operator.changed[at] == c
+	t.operator.mu.Unlock()
+	if !same || !t.faultLog.stableFor(stableTime+responseTimeout, v.name, storeParty) {
 		return
 	}
 	switch {
-	case c.here && errors.Is(err, sparfake.ErrReset):
-		w.checks.broken("CONFIG", "%s refuses route %s, in force for %v", v.name, at, time.Since(c.at).Round(time.Millisecond))
-	case !c.here && err == nil:
-		w.checks.broken("CONFIG", "%s serves route %s, dropped for %v", v.name, at, time.Since(c.at).Round(time.Millisecond))
+	case c.present && errors.Is(err, sparfake.ErrReset):
+		t.checker.violated("CONFIG", "%s refuses route %s, in force for %v", v.name, at, time.Since(c.at).Round(time.Millisecond))
+	case !c.present && err == nil:
+		t.checker.violated("CONFIG", "%s serves route %s, dropped for %v", v.name, at, time.Since(c.at).Round(time.Millisecond))
 	}
 }
