--- a/internal/proof/sparprocess/command_test.go
+++ b/internal/proof/sparprocess/command_test.go
@@ -10,7 +10,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// assertCode runs a command and fails unless it exits with the code given first.
+// assertCode runs a command and checks its exit code, which is the first argument.
 func assertCode(ts *testscript.TestScript, neg bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -25,13 +25,13 @@
 	}
 }
 
-// runUntil runs a command until its output holds the text given first.
+// runUntil repeats a command until its output contains the first argument.
 func runUntil(ts *testscript.TestScript, neg bool, args []string) {
-	for end := time.Now().Add(waitLong); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		_ = ts.Exec(args[1], args[2:]...)
 		if strings.Contains(ts.ReadFile("stdout"), args[0]) {
 			return
 		}
 	}
-	ts.Fatalf("%q not printed within %v", args[0], waitLong)
+	ts.Fatalf("%q not printed within %v", args[0], waitTimeout)
 }
--- a/internal/proof/sparprocess/script_test.go
+++ b/internal/proof/sparprocess/script_test.go
@@ -8,7 +8,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/stand/sparsite"
 )
 
-// TestScripts runs each command on good and bad input.
+// TestScripts runs each command with valid and invalid input.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
--- a/internal/proof/sparprocess/site_test.go
+++ b/internal/proof/sparprocess/site_test.go
@@ -38,8 +38,8 @@
 	return site
 }
 
-// TestPlatformCalls counts the calls of an idle deployment: they follow the number of
-// failure domains, not that of VMs.
+// TestPlatformCalls counts the platform calls of an idle deployment. They grow with the
+// number of failure domains, not with that of VMs.
 func TestPlatformCalls(t *testing.T) {
 	const seconds = 10
 	cases := []struct{ vms, domains, bound int }{
@@ -61,12 +61,12 @@
 	}
 }
 
-// TestTimelineNamesMissingVMs reads the time line with one VM dead.
+// TestTimelineNamesMissingVMs reads the timeline while one VM is down.
 func TestTimelineNamesMissingVMs(t *testing.T) {
 	site := newSite(t, 3, 3)
-	asked := site.VMs()[0].File.Control
+	control := site.VMs()[0].File.Control
 	site.VMs()[2].Kill()
-	timeline := sparevents.Read(context.Background(), []string{asked}, time.Now().Add(-time.Hour), "")
+	timeline := sparevents.Read(context.Background(), []string{control}, time.Now().Add(-time.Hour), "")
 	if !slices.Equal(timeline.Answered, []string{"vm-1", "vm-2"}) || !slices.Equal(timeline.Silent, []string{"vm-3"}) {
 		t.Errorf("answered %v, silent %v", timeline.Answered, timeline.Silent)
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestRequestsRunAtMostOnce kills a VM under requests that must not run twice and has an
-// upstream refuse openings: what was refused has not run.
+// TestRequestsRunAtMostOnce kills a VM during requests that must not run twice, and has an
+// upstream refuse new connections. A refused request must not have run.
 func TestRequestsRunAtMostOnce(t *testing.T) {
 	const flows, rounds = 120, 4
 	site := newSite(t, 4, 2)
@@ -95,7 +95,7 @@
 	servers[0].Shed(true)
 	site.Serve("kalkkirinne", "booking", d)
 	time.Sleep(time.Second)
-	caller, err := sparhost.NewCaller(site.Fabric.Address())
+	client, err := sparhost.NewCaller(site.Fabric.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 			id := fmt.Sprintf("hold-%d-%d", round, i)
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			from := sparflow.MakeEndpoint(0xCB007101, uint16(10000+round*flows+i))
-			conn, err := caller.Open(ctx, from, address, "booking")
+			conn, err := client.Open(ctx, from, address, "booking")
 			if err == nil {
 				_, err = conn.Ask(ctx, id)
 			}
@@ -130,12 +130,12 @@
 				t.Errorf("%s ran %d times, outcome %v", id, n, err)
 			}
 			if round == 2 && i == 5 {
-				site.Forget(victim) // the fabric notices late
+				site.RemoveVM(victim) // the fabric keeps sending to the killed VM until here
 			}
 		}
 	}
-	t.Logf("%d whole answers, %d truly refused", whole, refused)
+	t.Logf("%d whole responses, %d refused without a run", whole, refused)
 	if refused == 0 || whole < flows {
-		t.Errorf("%d refused and %d whole: the case shows nothing", refused, whole)
+		t.Errorf("%d refused and %d whole: too few to test anything", refused, whole)
 	}
 }
--- a/internal/stand/sparhost/caller.go
+++ b/internal/stand/sparhost/caller.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// Refused is the outcome of an opening answered with RST.
-	Refused = errors.ConstError("opening refused")
-	// Broken is the outcome of a connection that got a RST.
-	Broken = errors.ConstError("connection reset")
+	// ErrRefused reports that the SYN was answered with RST.
+	ErrRefused = errors.ConstError("connection refused")
+	// ErrReset reports that the connection received RST.
+	ErrReset = errors.ConstError("connection reset")
 
-	resend   = 250 * time.Millisecond
-	startSeq = 1
+	resendEvery = 250 * time.Millisecond
+	startSeq    = 1
 )
 
 type (
-	// Caller is a host that opens connections. Use NewCaller.
+	// Caller is a client host that opens connections. Use NewCaller.
 	Caller struct {
 		link *link
 
@@ -43,7 +43,7 @@
 		ack     uint32
 	}
 
-	// Answer is what an upstream answered.
+	// Answer is the response of an upstream to a request.
 	Answer struct {
 		Service  string
 		Upstream string
@@ -51,21 +51,22 @@
 	}
 )
 
-// NewCaller starts a caller behind the fabric.
+// NewCaller starts a client behind the fabric.
 func NewCaller(fabric netip.AddrPort) (c *Caller, err error) {
 	l, err := newLink(fabric)
 	if err != nil {
 		return nil, err
 	}
 	c = &Caller{link: l, conns: map[sparflow.Endpoint]*Conn{}}
-	go l.run(c.take)
+	go l.run(c.receive)
 	return c, nil
 }
 
-// Close ends every connection in silence.
+// Close drops every connection without FIN or RST.
 func (c *Caller) Close() { _ = c.link.conn.Close() }
 
-// Open connects from an endpoint to the address of the service called name.
+// Open connects from an endpoint to the address of a service. name is the name of the
+// service, which each request carries.
 func (c *Caller) Open(ctx context.Context, from, service sparflow.Endpoint, name string) (conn *Conn, err error) {
 	defer func() {
 		if err != nil {
@@ -80,8 +81,8 @@
 	c.conns[from] = conn
 	c.mu.Unlock()
 	v, err := conn.exchange(ctx, sparpacket.SYN, nil, func(v sparpacket.View) bool { return v.Accepting() })
-	if errors.Is(err, Broken) {
-		return nil, errors.WithType(err, Refused)
+	if errors.Is(err, ErrReset) {
+		return nil, errors.WithType(err, ErrRefused)
 	}
 	if err != nil {
 		return nil, err
@@ -91,11 +92,11 @@
 	return conn, nil
 }
 
-// Ask sends a request and returns its whole answer.
+// Ask sends a request and returns the whole response.
 func (c *Conn) Ask(ctx context.Context, id string) (a Answer, err error) {
 	defer func() {
 		if err != nil {
-			err = errors.Annotatef(err, "ask %s from %s", id, c.from)
+			err = errors.Annotatef(err, "request %s from %s", id, c.from)
 		}
 	}()
 	request := []byte(c.name + " " + id)
@@ -109,12 +110,12 @@
 	c.ack += uint32(len(v.Data()))
 	parts := strings.SplitN(string(v.Data()), " ", 3)
 	if len(parts) != 3 {
-		return Answer{}, errors.Errorf("answer cut short: %q", v.Data())
+		return Answer{}, errors.Errorf("truncated response: %q", v.Data())
 	}
 	return Answer{Service: parts[0], Upstream: parts[1], ID: parts[2]}, nil
 }
 
-// Close ends the connection with FIN.
+// Close closes the connection with FIN.
 func (c *Conn) Close(ctx context.Context) error {
 	_, err := c.exchange(ctx, sparpacket.FIN|sparpacket.ACK, nil, func(v sparpacket.View) bool { return v.Finishing() })
 	c.caller.mu.Lock()
@@ -123,18 +124,18 @@
 	return err
 }
 
-// exchange sends a segment again and again until an accepted answer arrives.
+// exchange retransmits a segment until a packet arrives that accept takes.
 func (c *Conn) exchange(ctx context.Context, flags uint8, data []byte, accept func(v sparpacket.View) bool) (
 	v sparpacket.View, err error,
 ) {
-	timer := time.NewTicker(resend)
+	timer := time.NewTicker(resendEvery)
 	defer timer.Stop()
 	c.send(flags, data)
 	for {
 		select {
 		case v = <-c.packets:
 			if v.Resetting() {
-				return v, Broken
+				return v, ErrReset
 			}
 			if accept(v) {
 				return v, nil
@@ -153,7 +154,7 @@
 	})
 }
 
-func (c *Caller) take(v sparpacket.View) {
+func (c *Caller) receive(v sparpacket.View) {
 	c.mu.Lock()
 	conn := c.conns[v.Target]
 	c.mu.Unlock()
@@ -163,6 +164,6 @@
 	v.Inner = append([]byte{}, v.Inner...)
 	select {
 	case conn.packets <- v:
-	default: // the caller asks again
+	default: // exchange retransmits
 	}
 }
--- a/internal/stand/sparhost/host.go
+++ b/internal/stand/sparhost/host.go
@@ -1,12 +1,12 @@
-// Package sparhost stands in for callers and upstreams, for tests and the demo.
+// Package sparhost holds fakes of clients and upstreams, for tests and the demo.
 //
-// Both speak enough TCP to show what a balancer does to it: handshake, one
-// request at a time with retransmission, FIN and RST. A server answers a request
-// with its service and its address, so a caller sees where each answer came from:
+// Both implement enough of TCP to show how a load balancer affects it: the handshake, one
+// request at a time with retransmission, FIN and RST. A server responds to a request with
+// its service and its address, so that a client sees where each response came from:
 //
 //	server, err := sparhost.NewServer(fabric, sparhost.ServerConfig{At: at, Service: "booking"})
 //	caller, err := sparhost.NewCaller(fabric)
-//	conn, err := caller.Open(ctx, from, service)
+//	conn, err := caller.Open(ctx, from, service, "booking")
 //	answer, err := conn.Ask(ctx, "hold-1")
 package sparhost
 
@@ -21,7 +21,7 @@
 	"github.com/oleanderspar/oleanderspar/internal/wire/sparpacket"
 )
 
-// link is the socket of a host to the fabric.
+// link is the socket between a host and the fabric.
 type link struct {
 	conn   *net.UDPConn
 	fabric netip.AddrPort
@@ -38,15 +38,15 @@
 
 func (l *link) send(s sparpacket.Segment) {
 	datagram := sparpacket.Wrap(nil, sparpacket.Build(s), 0)
-	_, _ = l.conn.WriteToUDPAddrPort(datagram, l.fabric) // lost packets are sent again
+	_, _ = l.conn.WriteToUDPAddrPort(datagram, l.fabric) // lost packets are retransmitted
 }
 
-// announce makes an endpoint known to the fabric.
+// announce announces an endpoint to the fabric.
 func (l *link) announce(at sparflow.Endpoint) {
 	l.send(sparpacket.Segment{From: at, To: sparfabric.Hello, Proto: sparflow.UDP})
 }
 
-// run reads packets until the link is closed.
+// run passes packets to receive until the link is closed.
 func (l *link) run(take func(v sparpacket.View)) {
 	buffer := make([]byte, sparpacket.MaxBytes)
 	var parser sparpacket.Parser
--- a/internal/stand/sparhost/server.go
+++ b/internal/stand/sparhost/server.go
@@ -12,20 +12,20 @@
 )
 
 type (
-	// ServerConfig describes an upstream.
+	// ServerConfig is the configuration of an upstream.
 	ServerConfig struct {
 		At      sparflow.Endpoint
 		Service string
-		Limit   int           // connections at most, 0 for 2000
-		Cold    time.Duration // openings are ignored for this long after the start
-		Shed    bool          // refuse every opening with RST
+		Limit   int           // largest number of connections, 0 for 2000
+		Cold    time.Duration // SYNs are ignored for this long after the start
+		Shed    bool          // refuse every new connection with RST
 	}
 
-	// Server is an upstream. Use NewServer.
+	// Server is a fake upstream. Use NewServer.
 	Server struct {
 		cfg   ServerConfig
 		link  *link
-		began time.Time
+		start time.Time
 
 		mu    sync.Mutex
 		conns map[sparflow.Endpoint]*serverConn
@@ -33,19 +33,19 @@
 		stats ServerStats
 	}
 
-	// ServerStats counts what reached an upstream.
+	// ServerStats counts what an upstream received.
 	ServerStats struct {
 		Openings int // SYNs of new connections
-		Strays   int // packets of connections that it does not have
+		Unknown  int // packets of unknown connections
 		Wrong    int // requests meant for another service
-		Conns    int // connections open now
+		Conns    int // currently open connections
 	}
 
 	serverConn struct {
-		next  uint32 // sequence number expected from the caller
-		seq   uint32 // next own sequence number
-		reply []byte
-		at    uint32 // sequence number of the last reply
+		next     uint32 // sequence number expected from the client
+		seq      uint32 // next own sequence number
+		reply    []byte
+		replySeq uint32 // sequence number of the last reply
 	}
 )
 
@@ -64,28 +64,28 @@
 		cfg.Limit = defaultLimit
 	}
 	s = &Server{
-		cfg: cfg, link: l, began: time.Now(),
+		cfg: cfg, link: l, start: time.Now(),
 		conns: map[sparflow.Endpoint]*serverConn{}, runs: map[string]int{},
 	}
 	l.announce(cfg.At)
-	go l.run(s.take)
+	go l.run(s.receive)
 	return s, nil
 }
 
-// Announce makes the upstream known to the fabric again.
+// Announce announces the upstream to the fabric again.
 func (s *Server) Announce() { s.link.announce(s.cfg.At) }
 
-// Close stops the upstream; its connections end in silence.
+// Close stops the upstream and drops its connections without FIN or RST.
 func (s *Server) Close() { _ = s.link.conn.Close() }
 
-// Shed makes the upstream refuse openings, or stop refusing them.
+// Shed sets whether the upstream refuses new connections.
 func (s *Server) Shed(shed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cfg.Shed = shed
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (s *Server) Stats() ServerStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +94,14 @@
 	return stats
 }
 
-// Runs returns how often the request with id was run.
+// Runs returns how many times the request with id has run.
 func (s *Server) Runs(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-func (s *Server) take(v sparpacket.View) {
+func (s *Server) receive(v sparpacket.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v.Proto == sparflow.UDP {
@@ -115,24 +115,24 @@
 	case v.Opening():
 		s.open(v, c)
 	case c == nil:
-		s.stats.Strays++
+		s.stats.Unknown++
 		if reset := sparpacket.Reset(v); reset != nil {
-			s.raw(reset)
+			s.sendRaw(reset)
 		}
 	case v.Finishing():
 		s.reply(v, sparpacket.FIN|sparpacket.ACK, c.seq, v.Seq+1, nil)
 		delete(s.conns, v.Source)
 	case len(v.Data()) > 0:
-		s.answer(v, c)
+		s.respond(v, c)
 	}
 }
 
 func (s *Server) open(v sparpacket.View, c *serverConn) {
-	if time.Since(s.began) < s.cfg.Cold {
+	if time.Since(s.start) < s.cfg.Cold {
 		return
 	}
 	if c == nil && (s.cfg.Shed || len(s.conns) >= s.cfg.Limit) {
-		s.raw(sparpacket.Reset(v))
+		s.sendRaw(sparpacket.Reset(v))
 		return
 	}
 	if c == nil || c.next != v.Seq+1 {
@@ -143,8 +143,8 @@
 	s.reply(v, sparpacket.SYN|sparpacket.ACK, firstSeq, v.Seq+1, nil)
 }
 
-// answer runs a request once and sends its answer as often as it is asked for.
-func (s *Server) answer(v sparpacket.View, c *serverConn) {
+// respond runs a request once and sends its response again for each retransmission.
+func (s *Server) respond(v sparpacket.View, c *serverConn) {
 	if v.Seq == c.next {
 		request := string(v.Data())
 		service, id, _ := strings.Cut(request, " ")
@@ -154,11 +154,11 @@
 		s.runs[id]++
 		c.reply = fmt.Appendf(nil, "%s %s %s", s.cfg.Service, s.cfg.At, id)
 		c.next += uint32(len(v.Data()))
-		c.at = c.seq
+		c.replySeq = c.seq
 		c.seq += uint32(len(c.reply))
 	}
 	if c.reply != nil {
-		s.reply(v, sparpacket.ACK, c.at, c.next, c.reply)
+		s.reply(v, sparpacket.ACK, c.replySeq, c.next, c.reply)
 	}
 }
 
@@ -168,7 +168,7 @@
 	})
 }
 
-func (s *Server) raw(packet []byte) {
+func (s *Server) sendRaw(packet []byte) {
 	datagram := sparpacket.Wrap(nil, packet, 0)
 	_, _ = s.link.conn.WriteToUDPAddrPort(datagram, s.link.fabric)
 }
--- a/internal/stand/sparsite/site.go
+++ b/internal/stand/sparsite/site.go
@@ -1,10 +1,10 @@
-// Package sparsite puts a whole deployment together on the loopback address, with
-// stand-ins around it, for the demo and the tests:
+// Package sparsite runs a whole deployment on the loopback address, with fakes of the
+// platform and the fabric, for the demo and the tests:
 //
 //	site, err := sparsite.New(log, 1)
 //	defer site.Close()
 //	vm, err := site.StartVM("vm-1", "north")
-//	err = site.Serve(service)
+//	site.Serve("team", "booking", document)
 package sparsite
 
 import (
@@ -30,17 +30,17 @@
 const secret = "000102030405060708090a0b0c0d0e0f"
 
 type (
-	// Site is a deployment with its surroundings. Use New.
+	// Site is a deployment with its fake platform and fabric. Use New.
 	Site struct {
 		Store    *sparstore.Store
 		Fabric   *sparfabric.Fabric
 		Platform string
 
-		log    *logrus.Logger
-		web    net.Listener
-		server *http.Server
-		mu     sync.Mutex
-		vms    []*VM
+		log      *logrus.Logger
+		listener net.Listener
+		server   *http.Server
+		mu       sync.Mutex
+		vms      []*VM
 	}
 
 	// VM is one running entry VM.
@@ -54,7 +54,7 @@
 
 // New starts a platform and a fabric.
 func New(log *logrus.Logger, seed uint64) (s *Site, err error) {
-	web, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Annotate(err, "site")
 	}
@@ -64,15 +64,15 @@
 	}
 	store := sparstore.New()
 	s = &Site{
-		Store: store, Fabric: fabric, Platform: web.Addr().String(), log: log, web: web,
+		Store: store, Fabric: fabric, Platform: listener.Addr().String(), log: log, listener: listener,
 		server: &http.Server{Handler: store, ReadHeaderTimeout: time.Minute, ErrorLog: nil},
 	}
-	go func() { _ = s.server.Serve(web) }()
+	go func() { _ = s.server.Serve(listener) }()
 	go fabric.Run()
 	return s, nil
 }
 
-// Close stops everything at once.
+// Close stops everything at once, without handover.
 func (s *Site) Close() {
 	s.mu.Lock()
 	vms := s.vms
@@ -84,7 +84,7 @@
 	s.Fabric.Close()
 }
 
-// File returns settings for a VM on free ports.
+// File returns the settings of a new VM, on free ports.
 func (s *Site) File(name, domain string) sparconfig.File {
 	file := sparconfig.File{
 		Name: name, Domain: domain, Data: FreeAddress(), Control: FreeAddress(),
@@ -97,19 +97,20 @@
 	return file
 }
 
-// VMs returns the VMs started and not stopped.
+// VMs returns the VMs that were started and not removed.
 func (s *Site) VMs() []*VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*VM{}, s.vms...)
 }
 
-// StartVM starts a VM in this process, lists it and sprays packets over it.
+// StartVM starts a VM in this process, registers it with the platform and adds it to the
+// fabric.
 func (s *Site) StartVM(name, domain string) (vm *VM, err error) {
 	return s.StartVMBehind(name, domain, s.Fabric.Address().String())
 }
 
-// StartVMBehind starts a VM that gives its packets to another fabric.
+// StartVMBehind is StartVM for a VM that sends its packets to another fabric.
 func (s *Site) StartVMBehind(name, domain, fabric string) (vm *VM, err error) {
 	file := s.File(name, domain)
 	file.Fabric = fabric
@@ -120,21 +121,21 @@
 	ctx, stop := context.WithCancel(context.Background())
 	vm = &VM{File: file, stop: stop, abort: make(chan os.Signal, 1), done: make(chan error, 1)}
 	go func() { vm.done <- server.Run(ctx, vm.abort) }()
-	s.List(file)
+	s.RegisterVM(file)
 	s.mu.Lock()
 	s.vms = append(s.vms, vm)
 	s.mu.Unlock()
-	s.Respray()
+	s.UpdateFabric()
 	return vm, nil
 }
 
-// List puts a VM on the platform's list.
-func (s *Site) List(file sparconfig.File) {
+// RegisterVM adds a VM to the platform's list.
+func (s *Site) RegisterVM(file sparconfig.File) {
 	s.Store.Put(sparkv.Root+sparconfig.VMKey(file.Name), file.VM().Text())
 }
 
-// Respray sprays packets over the VMs started and not stopped.
-func (s *Site) Respray() {
+// UpdateFabric makes the fabric spray packets over the current VMs.
+func (s *Site) UpdateFabric() {
 	var addrs []netip.AddrPort
 	for _, vm := range s.VMs() {
 		addrs = append(addrs, netip.MustParseAddrPort(vm.File.Data))
@@ -142,8 +143,8 @@
 	s.Fabric.Spray(addrs)
 }
 
-// Forget takes a VM off the fabric and the platform's list.
-func (s *Site) Forget(vm *VM) {
+// RemoveVM removes a VM from the fabric and the platform's list.
+func (s *Site) RemoveVM(vm *VM) {
 	s.mu.Lock()
 	for i, other := range s.vms {
 		if other == vm {
@@ -152,26 +153,26 @@
 		}
 	}
 	s.mu.Unlock()
-	s.Respray()
+	s.UpdateFabric()
 	s.Store.Remove(sparkv.Root + sparconfig.VMKey(vm.File.Name))
 }
 
-// Leave stops a VM gracefully: it hands over while the fabric takes it off.
+// Leave stops a VM gracefully: it hands over while the fabric stops sending it packets.
 func (s *Site) Leave(vm *VM) error {
 	vm.stop()
-	s.Forget(vm)
+	s.RemoveVM(vm)
 	return <-vm.done
 }
 
-// Kill stops a VM at once, without a word to the others.
+// Kill stops a VM at once, without notice to the other VMs.
 func (vm *VM) Kill() {
 	vm.abort <- os.Kill
 	<-vm.done
 	vm.done <- nil
 }
 
-// Serve writes a service document and the claims on its addresses, as an operator
-// does through the command line.
+// Serve writes a service document and the claims on its addresses, as the commands of an
+// operator do.
 func (s *Site) Serve(team, service string, d sparconfig.Document) {
 	for _, key := range d.Claims() {
 		s.Store.Put(sparkv.Root+key, []byte(team+"/"+service))
@@ -179,7 +180,7 @@
 	s.Store.Put(sparkv.Root+sparconfig.ServiceKey(team, service), d.Text())
 }
 
-// FreeAddress returns a loopback address whose UDP and TCP port is free.
+// FreeAddress returns a loopback address whose port is free for both UDP and TCP.
 func FreeAddress() string {
 	for range 100 {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -197,7 +198,7 @@
 	panic("no free loopback port")
 }
 
-// Endpoint returns the endpoint a.b.c.d:port, which must be valid.
+// Endpoint returns the endpoint a.b.c.d:port. It panics if s is invalid.
 func Endpoint(s string) sparflow.Endpoint {
 	e, err := sparflow.ParseEndpoint(s)
 	if err != nil {
--- a/internal/stand/sparstand/stand.go
+++ b/internal/stand/sparstand/stand.go
@@ -1,4 +1,4 @@
-// Package sparstand is the command line of the stand-ins. Each runs until it gets
+// Package sparstand is the command line of the fakes around the product. Each runs until
 // SIGTERM, except caller, which prints its counts as JSON when it is done:
 //
 //	sparstand platform --listen 127.0.0.1:8500
@@ -34,11 +34,11 @@
 )
 
 const (
-	listEvery     = 300 * time.Millisecond
-	announceEvery = time.Second
-	askWait       = 8 * time.Second
-	workers       = 64
-	callerNet     = 0xCB007100 // 203.0.113.0
+	listEvery      = 300 * time.Millisecond
+	announceEvery  = time.Second
+	requestTimeout = 8 * time.Second
+	workers        = 64
+	clientNet      = 0xCB007100 // 203.0.113.0
 )
 
 type (
@@ -46,10 +46,10 @@
 		Platform *platform `arg:"subcommand:platform" help:"key-value service"`
 		Fabric   *fabric   `arg:"subcommand:fabric" help:"sprays packets over the VMs on the platform's list"`
 		Upstream *upstream `arg:"subcommand:upstream" help:"one server"`
-		Caller   *caller   `arg:"subcommand:caller" help:"opens flows and asks on them"`
+		Caller   *client   `arg:"subcommand:caller" help:"opens flows and asks on them"`
 	}
 
-	stand interface {
+	command interface {
 		run(ctx context.Context, stdout io.Writer) error
 	}
 
@@ -70,7 +70,7 @@
 		Cold    time.Duration `arg:"--cold" help:"ignore openings for this long"`
 	}
 
-	caller struct {
+	client struct {
 		Fabric  string        `arg:"--fabric,required"`
 		Service string        `arg:"--service,required"`
 		Address string        `arg:"--address,required"`
@@ -81,7 +81,7 @@
 		Opened  string        `arg:"--opened" help:"file to write once all flows are open"`
 	}
 
-	// Counts is what a caller saw.
+	// Counts is what a client observed.
 	Counts struct {
 		Opened  int
 		Refused int
@@ -92,7 +92,7 @@
 	}
 )
 
-// Main runs a stand-in and returns its exit code.
+// Main runs a command and returns its exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var a arguments
 	parser, err := arg.NewParser(arg.Config{Program: "sparstand"}, &a)
@@ -103,7 +103,7 @@
 		fmt.Fprintf(stderr, "sparstand: %v\n", err)
 		return 2
 	}
-	s, ok := parser.Subcommand().(stand)
+	s, ok := parser.Subcommand().(command)
 	if !ok {
 		parser.WriteHelp(stderr)
 		return 2
@@ -130,25 +130,25 @@
 }
 
 func (f *fabric) run(ctx context.Context, _ io.Writer) error {
-	carrier, err := sparfabric.New(f.Listen, f.Seed)
+	fab, err := sparfabric.New(f.Listen, f.Seed)
 	if err != nil {
 		return err
 	}
-	go carrier.Run()
-	defer carrier.Close()
-	store := sparkv.New(f.Platform)
+	go fab.Run()
+	defer fab.Close()
+	kv := sparkv.New(f.Platform)
 	for ctx.Err() == nil {
-		if reading, err := store.List(ctx, sparconfig.VMKey(""), 0); err == nil {
-			carrier.Spray(addresses(reading))
+		if entries, err := kv.List(ctx, sparconfig.VMKey(""), 0); err == nil {
+			fab.Spray(addresses(entries))
 		}
 		sparring.Pause(ctx, listEvery)
 	}
 	return nil
 }
 
-func addresses(reading sparkv.Reading) (list []netip.AddrPort) {
+func addresses(entries sparkv.Reading) (list []netip.AddrPort) {
 	var r sparregistry.Registry
-	for _, vm := range sparconfig.VMs(r.Reading(reading.Entries, reading.Revision)) {
+	for _, vm := range sparconfig.VMs(r.Reading(entries.Entries, entries.Revision)) {
 		if vm.State == sparconfig.Live {
 			list = append(list, netip.MustParseAddrPort(vm.Data))
 		}
@@ -161,11 +161,11 @@
 	if err != nil {
 		return err
 	}
-	hub, err := netip.ParseAddrPort(u.Fabric)
+	fabricAddr, err := netip.ParseAddrPort(u.Fabric)
 	if err != nil {
 		return err
 	}
-	server, err := sparhost.NewServer(hub, sparhost.ServerConfig{At: at, Service: u.Service, Cold: u.Cold})
+	server, err := sparhost.NewServer(fabricAddr, sparhost.ServerConfig{At: at, Service: u.Service, Cold: u.Cold})
 	if err != nil {
 		return err
 	}
@@ -176,8 +176,8 @@
 	return nil
 }
 
-func (c *caller) run(ctx context.Context, stdout io.Writer) error {
-	hub, err := netip.ParseAddrPort(c.Fabric)
+func (c *client) run(ctx context.Context, stdout io.Writer) error {
+	fabricAddr, err := netip.ParseAddrPort(c.Fabric)
 	if err != nil {
 		return err
 	}
@@ -185,11 +185,11 @@
 	if err != nil {
 		return err
 	}
-	host, err := sparhost.NewCaller(hub)
+	host, err := sparhost.NewCaller(fabricAddr)
 	if err != nil {
 		return err
 	}
-	run := &calls{caller: c, host: host, address: address, homes: make([]string, c.Flows)}
+	run := &clientRun{client: c, host: host, address: address, upstreams: make([]string, c.Flows)}
 	run.open(ctx)
 	if c.Opened != "" {
 		if err := os.WriteFile(c.Opened, []byte("open\n"), 0o644); err != nil {
@@ -197,30 +197,30 @@
 		}
 	}
 	for round := range c.Rounds {
-		run.ask(ctx, round)
+		run.request(ctx, round)
 		sparring.Pause(ctx, c.Every)
 	}
 	run.close(ctx)
 	return json.NewEncoder(stdout).Encode(run.counts)
 }
 
-// calls are the flows of one caller process.
-type calls struct {
-	*caller
-	host    *sparhost.Caller
-	address sparflow.Endpoint
-	conns   []*sparhost.Conn
-	homes   []string
-	mu      sync.Mutex
-	counts  Counts
+// clientRun holds the flows of one client process.
+type clientRun struct {
+	*client
+	host      *sparhost.Caller
+	address   sparflow.Endpoint
+	conns     []*sparhost.Conn
+	upstreams []string
+	mu        sync.Mutex
+	counts    Counts
 }
 
-func (c *calls) open(ctx context.Context) {
+func (c *clientRun) open(ctx context.Context) {
 	c.conns = make([]*sparhost.Conn, c.Flows)
 	c.each(func(i int) {
 		n := c.First + i
-		from := sparflow.MakeEndpoint(callerNet+uint32(n%200)+1, uint16(10000+n/200))
-		ctx, cancel := context.WithTimeout(ctx, askWait)
+		from := sparflow.MakeEndpoint(clientNet+uint32(n%200)+1, uint16(10000+n/200))
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		conn, err := c.host.Open(ctx, from, c.address, c.Service)
 		c.count(func(counts *Counts) {
@@ -234,52 +234,52 @@
 	})
 }
 
-func (c *calls) ask(ctx context.Context, round int) {
+func (c *clientRun) request(ctx context.Context, round int) {
 	c.each(func(i int) {
 		if c.conns[i] == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, askWait)
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		id := fmt.Sprintf("request-%d-%d", c.First+i, round)
-		answer, err := c.conns[i].Ask(ctx, id)
+		response, err := c.conns[i].Ask(ctx, id)
 		c.count(func(counts *Counts) {
 			counts.Asked++
 			switch {
 			case err != nil:
 				counts.Broken++
 				c.conns[i] = nil
-			case answer.Service != c.Service:
+			case response.Service != c.Service:
 				counts.Wrong++
-			case answer.ID != id || c.homes[i] != "" && c.homes[i] != answer.Upstream:
+			case response.ID != id || c.upstreams[i] != "" && c.upstreams[i] != response.Upstream:
 				counts.Broken++
 			default:
-				c.homes[i] = answer.Upstream
+				c.upstreams[i] = response.Upstream
 				counts.Whole++
 			}
 		})
 	})
 }
 
-// close ends the flows that are left.
-func (c *calls) close(ctx context.Context) {
+// close closes the remaining flows.
+func (c *clientRun) close(ctx context.Context) {
 	c.each(func(i int) {
 		if c.conns[i] == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, askWait)
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		_ = c.conns[i].Close(ctx) // the counts are done
+		_ = c.conns[i].Close(ctx) // the counts are complete
 	})
 }
 
-func (c *calls) count(add func(counts *Counts)) {
+func (c *clientRun) count(add func(counts *Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	add(&c.counts)
 }
 
-func (c *calls) each(do func(i int)) {
+func (c *clientRun) each(do func(i int)) {
 	group := pool.New().WithMaxGoroutines(workers)
 	for i := range c.Flows {
 		group.Go(func() { do(i) })
--- a/internal/stand/sparstore/store.go
+++ b/internal/stand/sparstore/store.go
@@ -1,7 +1,6 @@
-// Package sparstore is a stand-in for the platform's key-value service, for tests
-// and the demo. It speaks the part of the Consul KV interface that the product
-// uses, and can be stopped, slowed, and made to lose answers after a write took
-// effect:
+// Package sparstore is a fake of the platform's key-value service, for tests and the
+// demo. It implements the part of the Consul KV interface that the product uses, and can
+// fail calls, delay them, and lose the responses to writes that took effect:
 //
 //	s := sparstore.New()
 //	server := httptest.NewServer(s)
@@ -21,29 +20,29 @@
 
 const (
 	keysPath    = "/v1/kv/"
-	troublePath = "/trouble"
+	faultPath   = "/trouble"
 	maxValue    = 1 << 20
 	defaultWait = 5 * time.Minute
 )
 
 type (
-	// Trouble is how the stand-in misbehaves.
+	// Trouble configures the faults of a store.
 	Trouble struct {
-		Down  bool          `json:"down"`  // refuse every call
-		Slow  time.Duration `json:"slow"`  // delay of every call, in nanoseconds
-		Lose  int           `json:"lose"`  // writes that take effect and are not answered
-		Stale bool          `json:"stale"` // serve readings from the moment this was set
+		Down  bool          `json:"down"`  // close the connection of every call without a response
+		Slow  time.Duration `json:"slow"`  // delay of each call, in nanoseconds
+		Lose  int           `json:"lose"`  // number of writes that take effect without a response
+		Stale bool          `json:"stale"` // reads return the values of the moment when this was set
 	}
 
-	// Store is the stand-in. Use New.
+	// Store is a fake key-value service. Use New.
 	Store struct {
-		mu      sync.Mutex
-		values  map[string]value
-		index   uint64
-		changed chan struct{}
-		trouble Trouble
-		frozen  map[string]value
-		calls   uint64
+		mu       sync.Mutex
+		values   map[string]value
+		index    uint64
+		changed  chan struct{}
+		fault    Trouble
+		snapshot map[string]value
+		calls    uint64
 	}
 
 	value struct {
@@ -67,30 +66,30 @@
 	return &Store{values: map[string]value{}, index: 1, changed: make(chan struct{})}
 }
 
-// Disturb sets how the store misbehaves from now on.
+// Disturb sets the faults from now on.
 func (s *Store) Disturb(t Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
-	s.frozen = nil
+	s.fault = t
+	s.snapshot = nil
 	if t.Stale {
-		s.frozen = map[string]value{}
+		s.snapshot = map[string]value{}
 		for k, v := range s.values {
-			s.frozen[k] = v
+			s.snapshot[k] = v
 		}
 	}
-	s.wake()
+	s.notify()
 }
 
-// Calls returns the number of calls so far, a waiting watch counting as one.
+// Calls returns the number of calls so far. A watch that waits counts as one.
 func (s *Store) Calls() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes a key without a condition, as the platform itself does for its list
-// of VMs. It returns the new revision.
+// Put writes a key without a condition, as the platform does for its list of VMs. It
+// returns the new revision.
 func (s *Store) Put(key string, data []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,14 +104,14 @@
 	if _, ok := s.values[key]; ok {
 		s.index++
 		delete(s.values, key)
-		s.wake()
+		s.notify()
 	}
 }
 
-// ServeHTTP answers calls of the KV interface, and PUT /trouble with a Trouble.
+// ServeHTTP implements the KV interface, and sets the faults on PUT /trouble.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == troublePath {
-		s.serveTrouble(w, r)
+	if r.URL.Path == faultPath {
+		s.serveFault(w, r)
 		return
 	}
 	key, ok := strings.CutPrefix(r.URL.Path, keysPath)
@@ -122,12 +121,12 @@
 	}
 	s.mu.Lock()
 	s.calls++
-	trouble := s.trouble
+	fault := s.fault
 	s.mu.Unlock()
-	if trouble.Slow > 0 {
-		time.Sleep(trouble.Slow)
+	if fault.Slow > 0 {
+		time.Sleep(fault.Slow)
 	}
-	if trouble.Down {
+	if fault.Down {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.Method {
@@ -140,7 +139,7 @@
 	}
 }
 
-func (s *Store) serveTrouble(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveFault(w http.ResponseWriter, r *http.Request) {
 	var t Trouble
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -161,7 +160,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for after > 0 && index <= after {
-		changed := s.waiting()
+		changed := s.nextChange()
 		if pairs, index = s.read(key, recurse); index > after {
 			break
 		}
@@ -212,12 +211,12 @@
 	if method == http.MethodDelete {
 		s.index++
 		delete(s.values, key)
-		s.wake()
+		s.notify()
 	} else {
 		s.write(key, data)
 	}
-	if s.trouble.Lose > 0 {
-		s.trouble.Lose--
+	if s.fault.Lose > 0 {
+		s.fault.Lose--
 		return true, true
 	}
 	return true, false
@@ -231,15 +230,15 @@
 	}
 	v.data, v.modify = data, s.index
 	s.values[key] = v
-	s.wake()
+	s.notify()
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) waiting() <-chan struct{} {
+func (s *Store) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
@@ -248,15 +247,15 @@
 func (s *Store) down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trouble.Down
+	return s.fault.Down
 }
 
 func (s *Store) read(key string, recurse bool) (pairs []pair, index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	source, index := s.values, s.index
-	if s.frozen != nil {
-		source, index = s.frozen, 0
+	if s.snapshot != nil {
+		source, index = s.snapshot, 0
 		for _, v := range source {
 			index = max(index, v.modify)
 		}
