--- a/cmd/sparentry/main.go
+++ b/cmd/sparentry/main.go
@@ -1,6 +1,6 @@
-// Command sparentry runs one entry VM of the cookie carrier. It does what
-// "oleanderspar serve" does there, without the other carrier and the operator's
-// commands, which would cost each VM 6 MB of memory.
+// Command sparentry runs one entry VM of the cookie carrier. It does what "oleanderspar
+// serve" does for that carrier, without the other carrier and the operator commands, which
+// would cost each VM 6 MB of memory.
 package main
 
 import (
--- a/cmd/sparsoak/main.go
+++ b/cmd/sparsoak/main.go
@@ -1,5 +1,5 @@
-// Command sparsoak plays seeded faults against entry VMs on this machine and says which
-// promises were broken.
+// Command sparsoak injects seeded faults into entry VMs on this machine and reports which
+// invariants were violated.
 package main
 
 import (
@@ -33,17 +33,17 @@
 func main() {
 	var a arguments
 	arg.MustParse(&a)
-	broken, err := run(a)
+	violations, err := run(a)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sparsoak: %v\n", err)
 		os.Exit(2)
 	}
-	if broken > 0 {
+	if violations > 0 {
 		os.Exit(1)
 	}
 }
 
-func run(a arguments) (broken int, err error) {
+func run(a arguments) (violations int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if a.Program == "" {
@@ -66,20 +66,20 @@
 		}
 		report, err := sparsoak.Run(ctx, p)
 		if err != nil {
-			return broken, err
+			return violations, err
 		}
 		if ctx.Err() != nil {
-			return broken, nil
+			return violations, nil
 		}
-		broken += len(report.Broken)
-		if err := print(report, a.JSON); err != nil {
-			return broken, err
+		violations += len(report.Broken)
+		if err := printReport(report, a.JSON); err != nil {
+			return violations, err
 		}
 	}
-	return broken, nil
+	return violations, nil
 }
 
-func print(r sparsoak.Report, asJSON bool) error {
+func printReport(r sparsoak.Report, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(os.Stdout).Encode(r)
 	}
--- a/cmd/sparstand/main.go
+++ b/cmd/sparstand/main.go
@@ -1,5 +1,5 @@
-// Command sparstand runs the stand-ins for what surrounds the product, each as a
-// process of its own: the platform, the fabric, an upstream and callers.
+// Command sparstand runs the fakes for what surrounds the product, each as a process of its
+// own: the platform, the fabric, an upstream and clients.
 package main
 
 import (
