--- a/internal/flow/sparflow/cache.go
+++ b/internal/flow/sparflow/cache.go
@@ -25,8 +25,8 @@
 	return &Cache{young: map[Key]Endpoint{}, old: map[Key]Endpoint{}, limit: limit}
 }
 
-// Get returns the upstream last put for key. now is monotonic time.
-func (c *Cache) Get(key Key, now time.Duration) (upstream Endpoint, ok bool) {
+// Lookup returns the upstream last put for key. now is monotonic time.
+func (c *Cache) Lookup(key Key, now time.Duration) (upstream Endpoint, ok bool) {
 	c.rotateIfDue(now)
 	if upstream, ok = c.young[key]; ok {
 		return upstream, true
@@ -46,8 +46,8 @@
 	c.young[key] = upstream
 }
 
-// Forget deletes key.
-func (c *Cache) Forget(key Key) {
+// Delete removes the entry of key.
+func (c *Cache) Delete(key Key) {
 	delete(c.young, key)
 	delete(c.old, key)
 }
--- a/internal/flow/sparflow/flow.go
+++ b/internal/flow/sparflow/flow.go
@@ -7,7 +7,7 @@
 //	hasher := sparflow.NewHasher(1, 2)
 //	client, _ := sparflow.ParseEndpoint("203.0.113.9:40000")
 //	service, _ := sparflow.ParseEndpoint("198.51.100.1:443")
-//	key := hasher.Key(sparflow.Tuple{Caller: client, Service: service, Proto: sparflow.TCP})
+//	key := hasher.Key(sparflow.Tuple{Client: client, Service: service, Proto: sparflow.TCP})
 //	slot := key.Slot() // the hash slot of the service, 0 to Slots-1
 //
 // A Cache holds the upstreams of recently used flows. It is a hint that saves a redirect;
@@ -45,7 +45,7 @@
 
 	// Tuple is the five-tuple of a flow: client, service address and protocol.
 	Tuple struct {
-		Caller  Endpoint
+		Client  Endpoint
 		Service Endpoint
 		Proto   Proto
 	}
@@ -67,7 +67,7 @@
 // Key returns the key of t. It is never 0.
 func (h Hasher) Key(t Tuple) Key {
 	var b [tupleBytes]byte
-	binary.LittleEndian.PutUint64(b[:], uint64(t.Caller)|uint64(t.Proto)<<48)
+	binary.LittleEndian.PutUint64(b[:], uint64(t.Client)|uint64(t.Proto)<<48)
 	b[7] = byte(t.Service >> 40)
 	b[8] = byte(t.Service >> 32)
 	binary.LittleEndian.PutUint32(b[9:], uint32(t.Service))
--- a/internal/flow/sparrank/rank.go
+++ b/internal/flow/sparrank/rank.go
@@ -3,7 +3,7 @@
 // The order depends only on the names, so every VM computes the same one. Adding or
 // removing a candidate moves only the slots of that candidate:
 //
-//	names := []uint64{sparrank.Name("a"), sparrank.Name("b"), sparrank.Name("c")}
+//	names := []uint64{sparrank.Hash("a"), sparrank.Hash("b"), sparrank.Hash("c")}
 //	order := sparrank.Order(17, names) // indices into names, best first
 package sparrank
 
@@ -17,8 +17,8 @@
 // splitmixIncrement is 2^64 divided by the golden ratio, the increment of splitmix64.
 const splitmixIncrement = 0x9E3779B97F4A7C15
 
-// Name returns the hash of the name of a candidate.
-func Name(name string) uint64 {
+// Hash returns the hash of the name of a candidate.
+func Hash(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
 
@@ -55,21 +55,21 @@
 	return order
 }
 
-// Share assigns each slot to one of names so that no candidate gets more than an equal
+// Assign assigns each slot to one of names so that no candidate gets more than an equal
 // share, rounded up. It assigns the slots in order, each to its best ranked candidate
 // below that quota, so that adding or removing a candidate moves little more than the
 // share of that candidate. It returns indices into names, or nil if names is empty.
-func Share(slots int, names []uint64) []int {
+func Assign(slots int, names []uint64) []int {
 	if len(names) == 0 {
 		return nil
 	}
 	quota := (slots + len(names) - 1) / len(names)
 	counts := make([]int, len(names))
-	shares := make([]int, slots)
-	for slot := range shares {
+	assigned := make([]int, slots)
+	for slot := range assigned {
 		best := Best(slot, names, func(i int) bool { return counts[i] < quota })
 		counts[best]++
-		shares[slot] = best
+		assigned[slot] = best
 	}
-	return shares
+	return assigned
 }
--- a/internal/member/sparmember/member.go
+++ b/internal/member/sparmember/member.go
@@ -334,14 +334,14 @@
 // peer of the domain has a higher rendezvous weight.
 func (t *Tracker) Watches(now time.Duration) bool {
 	const readers = 2
-	slot := int(sparrank.Name(t.self.Domain) % 1024)
-	weight := sparrank.Weight(slot, sparrank.Name(t.self.Name))
+	slot := int(sparrank.Hash(t.self.Domain) % 1024)
+	weight := sparrank.Weight(slot, sparrank.Hash(t.self.Name))
 	preceding := 0
 	for _, p := range t.peers {
 		if !t.live(p, now) || p.last.VM.Domain != t.self.Domain || !p.last.Synced {
 			continue
 		}
-		if sparrank.Weight(slot, sparrank.Name(p.last.VM.Name)) > weight {
+		if sparrank.Weight(slot, sparrank.Hash(p.last.VM.Name)) > weight {
 			preceding++
 		}
 	}
@@ -361,7 +361,7 @@
 }
 
 func member(vm sparconfig.VM, incarnation uint64) Member {
-	return Member{VM: vm, Incarnation: incarnation, Rank: sparrank.Name(vm.Name)}
+	return Member{VM: vm, Incarnation: incarnation, Rank: sparrank.Hash(vm.Name)}
 }
 
 func viewDigest(members []Member) uint64 {
--- a/internal/member/sparsync/peer.go
+++ b/internal/member/sparsync/peer.go
@@ -75,9 +75,9 @@
 		name   string
 		weight uint64
 	}
-	list := []ranked{{s.self.Name, sparrank.Weight(slot, sparrank.Name(s.self.Name))}}
+	list := []ranked{{s.self.Name, sparrank.Weight(slot, sparrank.Hash(s.self.Name))}}
 	for name := range s.peers {
-		list = append(list, ranked{name, sparrank.Weight(slot, sparrank.Name(name))})
+		list = append(list, ranked{name, sparrank.Weight(slot, sparrank.Hash(name))})
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), strings.Compare(a.name, b.name))
--- a/internal/member/sparsync/reader.go
+++ b/internal/member/sparsync/reader.go
@@ -146,7 +146,7 @@
 		}
 	}
 	all = append(all, s.seeds...)
-	offset := s.queries + int(sparrank.Name(s.self.Name)>>33)
+	offset := s.queries + int(sparrank.Hash(s.self.Name)>>33)
 	var outs []Output
 	for _, peers := range [][]*peer{recent, sameDomain, all} {
 		if len(peers) > 0 {
--- a/internal/member/sparsync/register.go
+++ b/internal/member/sparsync/register.go
@@ -28,7 +28,7 @@
 	s.registeredAt = now
 	var vms []sparconfig.VM
 	for name, p := range s.peers {
-		mine := int(sparrank.Name(name)%uint64(s.start.seedCount)) == s.start.index
+		mine := int(sparrank.Hash(name)%uint64(s.start.seedCount)) == s.start.index
 		if !mine || p.registered || !p.alive(now) || p.vm.Check() != nil || p.requestedAt > 0 && now-p.requestedAt < registerRetry {
 			continue
 		}
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -143,7 +143,7 @@
 // jitter returns a fraction of d that is derived from the name of this VM.
 func (s *Sync) jitter(d time.Duration) time.Duration {
 	const steps = 1 << 10
-	return d * time.Duration(sparrank.Name(s.self.Name)%steps) / steps
+	return d * time.Duration(sparrank.Hash(s.self.Name)%steps) / steps
 }
 
 // querySeeds queries all seeds at once.
--- a/internal/member/sparsync/tree.go
+++ b/internal/member/sparsync/tree.go
@@ -69,7 +69,7 @@
 func (s *Sync) order() []string {
 	reader := s.source.reader
 	order := []string{reader}
-	for _, name := range s.names(int(sparrank.Name(reader) >> 33)) {
+	for _, name := range s.names(int(sparrank.Hash(reader) >> 33)) {
 		if name != reader && (name == s.self.Name || s.peers[name].registered) {
 			order = append(order, name)
 		}
--- a/internal/proof/sparsoak/fabric.go
+++ b/internal/proof/sparsoak/fabric.go
@@ -76,7 +76,7 @@
 	list := f.rotation()
 	names := make([]uint64, len(list))
 	for i, v := range list {
-		names[i] = sparrank.Name(v.name)
+		names[i] = sparrank.Hash(v.name)
 	}
 	best := sparrank.Best(int(flow>>1), names, func(int) bool { return true })
 	if best < 0 {
--- a/internal/route/sparcookie/relay.go
+++ b/internal/route/sparcookie/relay.go
@@ -77,6 +77,6 @@
 		if err != nil || vm.Name == e.name {
 			continue // an entry without an address cannot be used
 		}
-		e.relays = append(e.relays, relay{rankID: sparrank.Name(vm.Name), domain: vm.Domain, data: at})
+		e.relays = append(e.relays, relay{rankID: sparrank.Hash(vm.Name), domain: vm.Domain, data: at})
 	}
 }
--- a/internal/route/sparroute/engine_test.go
+++ b/internal/route/sparroute/engine_test.go
@@ -49,9 +49,9 @@
 	v := sparmember.View{Settled: true}
 	for i, name := range names {
 		v.Members = append(v.Members, sparmember.Member{
-			VM: sparconfig.VM{Name: name, Domain: fmt.Sprintf("domain-%d", i%4)}, Incarnation: 1, Rank: sparrank.Name(name),
+			VM: sparconfig.VM{Name: name, Domain: fmt.Sprintf("domain-%d", i%4)}, Incarnation: 1, Rank: sparrank.Hash(name),
 		})
-		v.Digest = v.Digest*31 + sparrank.Name(name)
+		v.Digest = v.Digest*31 + sparrank.Hash(name)
 	}
 	return v
 }
@@ -183,7 +183,7 @@
 func TestAdoptedFlowOfRemovedUpstreamIsAborted(t *testing.T) {
 	e := engine("tcp", "vm-1")
 	removed := sparflow.MakeEndpoint(0x0A0000FE, 8080)
-	key := sparflow.NewHasher(1, 2).Key(sparflow.Tuple{Caller: client(2), Service: service, Proto: sparflow.TCP})
+	key := sparflow.NewHasher(1, 2).Key(sparflow.Tuple{Client: client(2), Service: service, Proto: sparflow.TCP})
 	e.Receive("vm-2", sparroute.Handover{
 		Service: "team/booking", Pins: []sparroute.Pins{{Home: removed, Keys: []sparflow.Key{key}}},
 	})
--- a/internal/route/sparroute/forward.go
+++ b/internal/route/sparroute/forward.go
@@ -10,13 +10,13 @@
 	if g == nil {
 		return e.unknown(s, UnknownAddress)
 	}
-	key := e.hasher.Key(sparflow.Tuple{Caller: s.From, Service: s.To, Proto: s.Proto})
+	key := e.hasher.Key(sparflow.Tuple{Client: s.From, Service: s.To, Proto: s.Proto})
 	sl := &g.slots[key.Slot()]
 	if sl.phase == owning {
 		return e.forwardOwned(g, sl, key, s)
 	}
 	if s.Kind == Data && s.Proto == sparflow.TCP {
-		if upstream, ok := e.cache.Get(key, e.now); ok {
+		if upstream, ok := e.cache.Lookup(key, e.now); ok {
 			return e.toUpstream(g, key, upstream)
 		}
 	}
@@ -32,7 +32,7 @@
 	if g == nil {
 		return e.unknown(s, UnknownUpstream)
 	}
-	tuple := sparflow.Tuple{Caller: s.To, Service: g.service.Address, Proto: s.Proto}
+	tuple := sparflow.Tuple{Client: s.To, Service: g.service.Address, Proto: s.Proto}
 	key := e.hasher.Key(tuple)
 	if !g.carries[s.From] {
 		e.stats.Aborted++
@@ -56,7 +56,7 @@
 // knows whether it comes from the upstream of the flow. Without an owner it is dropped:
 // kernels retransmit these packets, or answer the next packet with a new RST.
 func (e *Engine) returnByOwner(key sparflow.Key, s Segment) Verdict {
-	e.cache.Forget(key)
+	e.cache.Delete(key)
 	if s.Hops < MaxHops {
 		if peer, ok := e.owner(key); ok {
 			return e.redirect(peer)
--- a/internal/route/sparroute/settings.go
+++ b/internal/route/sparroute/settings.go
@@ -90,7 +90,7 @@
 	e.updateHealth(g, created)
 	g.ranks = g.ranks[:0]
 	for _, u := range g.service.Upstreams {
-		g.ranks = append(g.ranks, sparrank.Name(u.At.String()))
+		g.ranks = append(g.ranks, sparrank.Hash(u.At.String()))
 	}
 	var openRanks []uint64
 	var open []sparflow.Endpoint
@@ -100,11 +100,11 @@
 			open = append(open, u.At)
 		}
 	}
-	shares := sparrank.Share(sparflow.Slots, openRanks)
+	assigned := sparrank.Assign(sparflow.Slots, openRanks)
 	for n := range g.slots {
 		g.slots[n].preferred = 0
-		if shares != nil {
-			g.slots[n].preferred = open[shares[n]]
+		if assigned != nil {
+			g.slots[n].preferred = open[assigned[n]]
 		}
 	}
 	e.refreshCarries(g)
--- a/internal/stand/sparhost/caller.go
+++ b/internal/stand/sparhost/caller.go
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	c.conns[from] = conn
 	c.mu.Unlock()
-	v, err := conn.exchange(ctx, sparpacket.SYN, nil, func(v sparpacket.View) bool { return v.Accepting() })
+	v, err := conn.exchange(ctx, sparpacket.SYN, nil, func(v sparpacket.View) bool { return v.SYNACK() })
 	if errors.Is(err, ErrReset) {
 		return nil, errors.WithType(err, ErrRefused)
 	}
@@ -117,7 +117,7 @@
 
 // Close closes the connection with FIN.
 func (c *Conn) Close(ctx context.Context) error {
-	_, err := c.exchange(ctx, sparpacket.FIN|sparpacket.ACK, nil, func(v sparpacket.View) bool { return v.Finishing() })
+	_, err := c.exchange(ctx, sparpacket.FIN|sparpacket.ACK, nil, func(v sparpacket.View) bool { return v.FIN() })
 	c.caller.mu.Lock()
 	delete(c.caller.conns, c.from)
 	c.caller.mu.Unlock()
@@ -134,7 +134,7 @@
 	for {
 		select {
 		case v = <-c.packets:
-			if v.Resetting() {
+			if v.RST() {
 				return v, ErrReset
 			}
 			if accept(v) {
--- a/internal/stand/sparhost/server.go
+++ b/internal/stand/sparhost/server.go
@@ -110,16 +110,16 @@
 	}
 	c := s.conns[v.Source]
 	switch {
-	case v.Resetting():
+	case v.RST():
 		delete(s.conns, v.Source)
-	case v.Opening():
+	case v.SYN():
 		s.open(v, c)
 	case c == nil:
 		s.stats.Unknown++
 		if reset := sparpacket.Reset(v); reset != nil {
 			s.sendRaw(reset)
 		}
-	case v.Finishing():
+	case v.FIN():
 		s.reply(v, sparpacket.FIN|sparpacket.ACK, c.seq, v.Seq+1, nil)
 		delete(s.conns, v.Source)
 	case len(v.Data()) > 0:
--- a/internal/vm/sparnode/baseline_test.go
+++ b/internal/vm/sparnode/baseline_test.go
@@ -22,9 +22,9 @@
 func newBaseline(tables bool) *baseline {
 	b := &baseline{hasher: sparflow.NewHasher(1, 2), rng: rand.New(rand.NewPCG(1, 7))}
 	for i := range bigUpstreams {
-		b.ranks = append(b.ranks, sparrank.Name(upstreamAt(1, i+1)))
+		b.ranks = append(b.ranks, sparrank.Hash(upstreamAt(1, i+1)))
 	}
-	b.bySlot = sparrank.Share(sparflow.Slots, b.ranks)
+	b.bySlot = sparrank.Assign(sparflow.Slots, b.ranks)
 	if tables {
 		for range bigVMs {
 			b.tables = append(b.tables, map[sparflow.Key]int{})
@@ -48,7 +48,7 @@
 
 // drain removes the last upstream from the hash.
 func (b *baseline) drain() {
-	b.bySlot = sparrank.Share(sparflow.Slots, b.ranks[:bigUpstreams-1])
+	b.bySlot = sparrank.Assign(sparflow.Slots, b.ranks[:bigUpstreams-1])
 }
 
 // broken opens flows, sends some packets on each, drains an upstream and sends 20 more on
@@ -58,7 +58,7 @@
 	upstreams := map[sparflow.Key]int{}
 	counts := make([]int, bigUpstreams)
 	for i := range flows {
-		key := b.hasher.Key(sparflow.Tuple{Caller: client(i), Proto: sparflow.TCP})
+		key := b.hasher.Key(sparflow.Tuple{Client: client(i), Proto: sparflow.TCP})
 		upstreams[key] = b.forward(key)
 		counts[upstreams[key]]++
 		for range packets {
--- a/internal/vm/sparnode/hosts_test.go
+++ b/internal/vm/sparnode/hosts_test.go
@@ -76,20 +76,20 @@
 // sendData sends one data packet and reports whether a response arrived.
 func (l *lab) sendData(f *labFlow) bool {
 	f.upstream &^= respondedBit
-	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto})
 	ok := f.upstream&respondedBit != 0
 	f.upstream &^= respondedBit
 	return ok
 }
 
 func (l *lab) sendSYN(f *labFlow) {
-	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Opening})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Opening})
 }
 
 // end sends FIN. The flow is closed once the upstream has answered with its own.
 func (l *lab) end(f *labFlow) {
 	f.ending = true
-	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Caller, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Finishing})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Finishing})
 }
 
 // open opens n flows to a service and retransmits each SYN until it is answered.
@@ -103,7 +103,7 @@
 	flows := make([]*labFlow, n)
 	for i := range flows {
 		from := client(first + i)
-		flows[i] = &labFlow{service: service, tuple: sparflow.Tuple{Caller: from, Service: at, Proto: sparflow.TCP}}
+		flows[i] = &labFlow{service: service, tuple: sparflow.Tuple{Client: from, Service: at, Proto: sparflow.TCP}}
 		l.sendSYN(flows[i])
 		if i%500 == 499 {
 			l.run(sparnode.TickEvery)
@@ -119,7 +119,7 @@
 	}
 	for _, f := range flows {
 		if !f.open && !f.refused {
-			l.t.Fatalf("flow %s never opened", f.tuple.Caller)
+			l.t.Fatalf("flow %s never opened", f.tuple.Client)
 		}
 	}
 	return flows
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -235,7 +235,7 @@
 		case sparnode.Release:
 			if h, ok := vm.held[out.Key]; ok {
 				delete(vm.held, out.Key)
-				l.route(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Caller, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
+				l.route(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Client, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
 			}
 		}
 	}
--- a/internal/vm/sparnode/load_test.go
+++ b/internal/vm/sparnode/load_test.go
@@ -23,7 +23,7 @@
 				continue
 			}
 			f := &labFlow{service: flows[i].service, tuple: flows[i].tuple}
-			f.tuple.Caller += 1 << 20 << 16
+			f.tuple.Client += 1 << 20 << 16
 			next++
 			flows[i] = f
 			l.sendSYN(f)
--- a/internal/vm/sparnode/random_test.go
+++ b/internal/vm/sparnode/random_test.go
@@ -65,7 +65,7 @@
 	for range 60 {
 		s.opened++
 		f := &labFlow{service: "booking"}
-		f.tuple.Caller = client(s.opened)
+		f.tuple.Client = client(s.opened)
 		f.tuple.Service = endpoint("198.51.100.1:443")
 		f.tuple.Proto = 6
 		s.flows = append(s.flows, f)
@@ -183,7 +183,7 @@
 		n := s.broken(s.flows)
 		for _, f := range s.flows {
 			if f.broken != "" {
-				r.Logf("%s %s, upstream %s, trace:", f.tuple.Caller, f.broken, f.upstream)
+				r.Logf("%s %s, upstream %s, trace:", f.tuple.Client, f.broken, f.upstream)
 				for _, line := range f.trace {
 					r.Log(line)
 				}
--- a/internal/vm/sparnode/status_test.go
+++ b/internal/vm/sparnode/status_test.go
@@ -40,7 +40,7 @@
 		if f.Drained != 0 {
 			for flow := range l.upstreams[f.Drained].conns {
 				if flow.open && flow.broken == "" {
-					lines = append(lines, f.Text+" but "+flow.tuple.Caller.String()+" is there")
+					lines = append(lines, f.Text+" but "+flow.tuple.Client.String()+" is there")
 				}
 			}
 		}
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -200,13 +200,13 @@
 	switch {
 	case v.Proto == sparflow.UDP:
 		return sparroute.Data
-	case v.Resetting():
+	case v.RST():
 		return sparroute.Resetting
-	case v.Opening():
+	case v.SYN():
 		return sparroute.Opening
-	case v.Accepting():
+	case v.SYNACK():
 		return sparroute.Accepting
-	case v.Finishing():
+	case v.FIN():
 		return sparroute.Finishing
 	}
 	return sparroute.Data
@@ -215,7 +215,7 @@
 // abortClient returns a RST to the client of a flow whose removed upstream sent v, or nil
 // if v is itself a RST or not TCP.
 func abortClient(v sparpacket.View, service sparflow.Endpoint) []byte {
-	if v.Proto != sparflow.TCP || v.Resetting() {
+	if v.Proto != sparflow.TCP || v.RST() {
 		return nil
 	}
 	return sparpacket.Build(sparpacket.Segment{
--- a/internal/wire/sparpacket/build.go
+++ b/internal/wire/sparpacket/build.go
@@ -64,7 +64,7 @@
 // Reset returns the RST that RFC 9293 section 3.10.7.1 requires as the response to v if
 // there is no connection, or nil if v is itself a RST or not TCP.
 func Reset(v View) []byte {
-	if v.Proto != sparflow.TCP || v.Resetting() {
+	if v.Proto != sparflow.TCP || v.RST() {
 		return nil
 	}
 	s := Segment{From: v.Target, To: v.Source, Proto: sparflow.TCP, Flags: RST}
@@ -73,7 +73,7 @@
 		return Build(s)
 	}
 	length := uint32(len(v.Data()))
-	if v.Opening() || v.Finishing() {
+	if v.SYN() || v.FIN() {
 		length++
 	}
 	s.Flags |= ACK
--- a/internal/wire/sparpacket/packet.go
+++ b/internal/wire/sparpacket/packet.go
@@ -185,17 +185,17 @@
 	return v, nil
 }
 
-// Opening reports whether the packet is a TCP SYN without ACK, which opens a flow.
-func (v View) Opening() bool { return v.Flags&(flagSYN|flagACK) == flagSYN }
+// SYN reports whether the packet is a TCP SYN without ACK, which opens a flow.
+func (v View) SYN() bool { return v.Flags&(flagSYN|flagACK) == flagSYN }
 
-// Accepting reports whether the packet is a TCP SYN with ACK, which accepts a flow.
-func (v View) Accepting() bool { return v.Flags&(flagSYN|flagACK) == flagSYN|flagACK }
+// SYNACK reports whether the packet is a TCP SYN with ACK, which accepts a flow.
+func (v View) SYNACK() bool { return v.Flags&(flagSYN|flagACK) == flagSYN|flagACK }
 
-// Finishing reports whether the packet is a TCP FIN, which closes one half of a flow.
-func (v View) Finishing() bool { return v.Flags&flagFIN != 0 }
+// FIN reports whether the packet is a TCP FIN, which closes one half of a flow.
+func (v View) FIN() bool { return v.Flags&flagFIN != 0 }
 
-// Resetting reports whether the packet is a TCP RST, which aborts a flow.
-func (v View) Resetting() bool { return v.Flags&flagRST != 0 }
+// RST reports whether the packet is a TCP RST, which aborts a flow.
+func (v View) RST() bool { return v.Flags&flagRST != 0 }
 
 // Data returns the transport payload.
 func (v View) Data() []byte { return v.Inner[v.Payload:] }
--- a/internal/wire/sparpacket/packet_test.go
+++ b/internal/wire/sparpacket/packet_test.go
@@ -83,8 +83,8 @@
 func TestStripDataOfSYN(t *testing.T) {
 	v := parse(t, sparpacket.Wrap(nil, sparpacket.Build(segment(sparflow.TCP, sparpacket.SYN, "early")), 0))
 	v.StripData()
-	if len(v.Data()) != 0 || !v.Opening() {
-		t.Errorf("data %q, opening %v", v.Data(), v.Opening())
+	if len(v.Data()) != 0 || !v.SYN() {
+		t.Errorf("data %q, SYN %v", v.Data(), v.SYN())
 	}
 }
 
