--- a/internal/platform/sparkv/answers_test.go
+++ b/internal/platform/sparkv/answers_test.go
@@ -10,10 +10,10 @@
 	"github.com/oleanderspar/oleanderspar/internal/platform/sparkv"
 )
 
-// TestDuplicatedResponse runs a service that repeats the last response on a connection
+// TestDuplicateResponse runs a service that repeats the last response on a connection
 // before it sends the next one. The service refuses every second write, and the client
 // must not report such a write as done.
-func TestDuplicatedResponse(t *testing.T) {
+func TestDuplicateResponse(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/sparkv/kv.go
+++ b/internal/platform/sparkv/kv.go
@@ -5,7 +5,7 @@
 // connection and deadline.
 //
 //	client := sparkv.New("127.0.0.1:8500")
-//	reading, err := client.List(ctx, "", 0)
+//	listing, err := client.List(ctx, "", 0)
 //	ok, err := client.Swap(ctx, "team/a/services/b", document, revision)
 //
 // After an error of Swap the write may or may not have taken effect. With ErrUnsent it has
@@ -52,7 +52,7 @@
 	Store interface {
 		// List returns all entries under prefix. If after is above 0 it waits up to
 		// WatchWait for a revision above after.
-		List(ctx context.Context, prefix string, after uint64) (Reading, error)
+		List(ctx context.Context, prefix string, after uint64) (Listing, error)
 		// Get returns one entry; ok is false if the key does not exist.
 		Get(ctx context.Context, key string) (e sparregistry.Entry, ok bool, err error)
 		// Swap writes value if the key is still at revision; 0 means that it is absent.
@@ -61,8 +61,8 @@
 		Delete(ctx context.Context, key string, revision uint64) (ok bool, err error)
 	}
 
-	// Reading holds the entries under a prefix at one revision.
-	Reading struct {
+	// Listing holds the entries under a prefix at one revision.
+	Listing struct {
 		Entries  []sparregistry.Entry
 		Revision uint64
 	}
@@ -108,7 +108,7 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // List implements Store.
-func (c *Client) List(ctx context.Context, prefix string, after uint64) (r Reading, err error) {
+func (c *Client) List(ctx context.Context, prefix string, after uint64) (l Listing, err error) {
 	defer annotate(&err, "list "+prefix)
 	query := url.Values{"recurse": {"true"}}
 	timeout := CallTimeout
@@ -119,16 +119,16 @@
 	}
 	status, header, body, err := c.call(ctx, timeout, http.MethodGet, prefix, query, nil)
 	if err != nil {
-		return Reading{}, err
+		return Listing{}, err
 	}
-	if r.Revision, err = strconv.ParseUint(header.Get(indexHeader), 10, 64); err != nil {
-		return Reading{}, errors.Annotate(err, indexHeader)
+	if l.Revision, err = strconv.ParseUint(header.Get(indexHeader), 10, 64); err != nil {
+		return Listing{}, errors.Annotate(err, indexHeader)
 	}
 	if status == http.StatusNotFound {
-		return r, nil
+		return l, nil
 	}
-	r.Entries, err = parsePairs(body)
-	return r, err
+	l.Entries, err = parsePairs(body)
+	return l, err
 }
 
 // Get implements Store.
--- a/internal/stand/sparstand/stand.go
+++ b/internal/stand/sparstand/stand.go
@@ -138,17 +138,17 @@
 	defer fab.Close()
 	kv := sparkv.New(f.Platform)
 	for ctx.Err() == nil {
-		if entries, err := kv.List(ctx, sparconfig.VMKey(""), 0); err == nil {
-			fab.Spray(addresses(entries))
+		if listing, err := kv.List(ctx, sparconfig.VMKey(""), 0); err == nil {
+			fab.Spray(addresses(listing))
 		}
 		sparring.Pause(ctx, listEvery)
 	}
 	return nil
 }
 
-func addresses(entries sparkv.Reading) (list []netip.AddrPort) {
+func addresses(listing sparkv.Listing) (list []netip.AddrPort) {
 	var r sparregistry.Registry
-	for _, vm := range sparconfig.VMs(r.Reading(entries.Entries, entries.Revision)) {
+	for _, vm := range sparconfig.VMs(r.Reading(listing.Entries, listing.Revision)) {
 		if vm.State == sparconfig.Live {
 			list = append(list, netip.MustParseAddrPort(vm.Data))
 		}
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -105,7 +105,7 @@
 
 		packets *sparring.Ring[*packet]
 		inputs  *sparring.Ring[input]
-		queries *sparring.Questions[*VM]
+		queries *sparring.Queries[*VM]
 		pulls   *sparring.Ring[pull]
 		reads   *sparring.Ring[readRequest]
 		writes  *sparring.Ring[write]
@@ -147,7 +147,7 @@
 	vm = &VM{
 		file: file, log: log.WithField("vm", file.Name), store: store, began: time.Now(),
 		packets: sparring.New[*packet](packetRing), inputs: sparring.New[input](inputRing),
-		queries: sparring.NewQuestions[*VM](queryRing), pulls: sparring.New[pull](pullRing),
+		queries: sparring.NewQueries[*VM](queryRing), pulls: sparring.New[pull](pullRing),
 		reads: sparring.New[readRequest](1), writes: sparring.New[write](writeRing),
 		engine: sparcookie.New(file.Name, file.Domain, file.Flows),
 		sync:   sparsync.New(file.VM(), carrier.Force), carrier: carrier,
--- a/internal/vm/sparentry/handler.go
+++ b/internal/vm/sparentry/handler.go
@@ -29,7 +29,7 @@
 		return nil, errors.New("pull request has no permit")
 	}
 	p.to, p.after = r.From.ToVM(), r.After
-	a, err := sparring.Ask(ctx, h.vm.queries, func(vm *VM) pullDecision { return vm.answerPull(p) })
+	a, err := sparring.Query(ctx, h.vm.queries, func(vm *VM) pullDecision { return vm.answerPull(p) })
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 
 // Facts implements Control. The reply has the ID of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
-	return sparring.Ask(ctx, h.vm.queries, func(vm *VM) *sparcontrol.FactsReply {
+	return sparring.Query(ctx, h.vm.queries, func(vm *VM) *sparcontrol.FactsReply {
 		facts := vm.facts()
 		facts.Id = r.Id
 		return facts
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	others, err := sparring.Ask(ctx, h.vm.queries, (*VM).others)
+	others, err := sparring.Query(ctx, h.vm.queries, (*VM).others)
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
-	return sparring.Ask(ctx, h.vm.queries, func(vm *VM) *sparcontrol.EventsReply {
+	return sparring.Query(ctx, h.vm.queries, func(vm *VM) *sparcontrol.EventsReply {
 		return sparcontrol.FromEvents(r, vm.file.Name, vm.timeline.Since(spartimeline.Stamp(r.Since)), vm.engine.Roster().VMs)
 	})
 }
--- a/internal/vm/sparserver/calls.go
+++ b/internal/vm/sparserver/calls.go
@@ -38,12 +38,12 @@
 			sparring.Pause(ctx, idleCheck)
 			continue
 		}
-		reading, err := s.store.List(ctx, "", after)
+		listing, err := s.store.List(ctx, "", after)
 		s.metrics.platformCalls.Store(s.store.Calls())
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.inputs.Put(platformInput{reading: reading, err: err})
+		s.inputs.Put(platformInput{listing: listing, err: err})
 		if err != nil {
 			s.log.WithError(err).Debug("reading the platform failed")
 			after = 0
@@ -53,7 +53,7 @@
 			continue
 		}
 		retry = retryMin
-		after = reading.Revision
+		after = listing.Revision
 	}
 	return nil
 }
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -44,7 +44,7 @@
 
 // Pull implements Control.
 func (h handler) Pull(ctx context.Context, r *sparcontrol.PullRequest) (*sparcontrol.PullReply, error) {
-	share, err := sparring.Ask(ctx, h.server.queries, func(s *Server) sparregistry.Share {
+	share, err := sparring.Query(ctx, h.server.queries, func(s *Server) sparregistry.Share {
 		return s.node.Registry().Share(r.After)
 	})
 	if err != nil {
@@ -55,7 +55,7 @@
 
 // Facts implements Control. The reply has the id of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
-	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
+	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
 		facts := s.node.Facts()
 		facts.Id = r.Id
 		facts.Platform = s.reached
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	others, err := sparring.Ask(ctx, h.server.queries, func(s *Server) []sparconfig.VM { return s.node.Expected() })
+	others, err := sparring.Query(ctx, h.server.queries, func(s *Server) []sparconfig.VM { return s.node.Expected() })
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
-	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
+	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
 		return sparcontrol.FromEvents(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
 	})
 }
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -68,7 +68,7 @@
 		inputs  *sparring.Ring[input]
 		pulls   *sparring.Ring[sparnode.Pull]
 		sweeps  *sparring.Ring[sparnode.Sweep]
-		queries *sparring.Questions[*Server]
+		queries *sparring.Queries[*Server]
 		buffers sync.Pool
 		held    *heldPackets
 		metrics *metrics
@@ -98,7 +98,7 @@
 
 	// platformInput is the result of a read of the platform.
 	platformInput struct {
-		reading sparkv.Reading
+		listing sparkv.Listing
 		err     error
 	}
 
@@ -125,7 +125,7 @@
 		node:    sparnode.New(file, uint64(began.UnixMilli()), 0, began),
 		packets: sparring.New[*packet](packetRing), sends: sparring.New[*packet](sendRing),
 		inputs: sparring.New[input](inputRing), pulls: sparring.New[sparnode.Pull](pullRing),
-		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQuestions[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
+		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQueries[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
 		fabric: netip.MustParseAddrPort(file.Fabric), peers: map[string]netip.AddrPort{},
 		watch: make(chan bool, 1),
 	}
@@ -229,7 +229,7 @@
 	case platformInput:
 		s.reached = in.err == nil
 		if in.err == nil {
-			s.node.Reading(in.reading.Entries, in.reading.Revision)
+			s.node.Reading(in.listing.Entries, in.listing.Revision)
 		}
 	case pullInput:
 		s.node.Merge(in.share)
