--- a/cmd/sparentry/main.go
+++ b/cmd/sparentry/main.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		exit(invalid, err)
 	}
-	if _, ok := file.Wire().(sparconfig.CookieCarrier); !ok {
+	if _, ok := file.CarrierSettings().(sparconfig.CookieCarrier); !ok {
 		exit(invalid, errors.Errorf("%s: carrier %s, expected %s", a.File, file.Carrier, sparconfig.Cookie))
 	}
 	if err := sparlaunch.Run(context.Background(), a.File, file, level, os.Stdout); err != nil {
--- a/internal/operator/sparcli/serve.go
+++ b/internal/operator/sparcli/serve.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return exit{Invalid, errors.Annotate(err, "--log")}
 	}
-	switch file.Wire().(type) {
+	switch file.CarrierSettings().(type) {
 	case sparconfig.CookieCarrier:
 		return sparlaunch.Run(ctx, c.File, file, level, out.stdout)
 	case sparconfig.GeneveCarrier:
--- a/internal/peer/sparcontrol/codec_test.go
+++ b/internal/peer/sparcontrol/codec_test.go
@@ -57,18 +57,18 @@
 // TestShares encodes and decodes a full copy and deltas of a registry. A delta must also
 // remove a deleted key at the receiver.
 func TestShares(t *testing.T) {
-	registry := sparregistry.Registry{}.Reading([]sparregistry.Entry{
+	registry := sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
 	}, 6).With(sparregistry.Entry{Key: "a", Revision: 7, Deleted: true})
 	for _, after := range []uint64{0, 4, 7} {
-		want := registry.Share(after)
+		want := registry.Delta(after)
 		got, err := sparcontrol.DecodeShare(sparcontrol.EncodeShare(want))
 		if err != nil {
 			t.Fatal(err)
 		}
-		follower, complete := sparregistry.Registry{}.Reading([]sparregistry.Entry{
+		follower, complete := sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 			{Key: "a", Value: []byte("1"), Revision: 3},
-		}, 4).WithShare(got)
+		}, 4).WithDelta(got)
 		if got.Base != want.Base || got.After != after || got.Revision != want.Revision || len(got.Entries) != len(want.Entries) {
 			t.Errorf("after %d: %+v, want %+v", after, got, want)
 		}
@@ -97,9 +97,9 @@
 
 // TestDamagedShares decodes shares that are truncated or declare a size above the limit.
 func TestDamagedShares(t *testing.T) {
-	whole := sparcontrol.EncodeShare(sparregistry.Registry{}.Reading([]sparregistry.Entry{
+	whole := sparcontrol.EncodeShare(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
-	}, 6).Share(0))
+	}, 6).Delta(0))
 	for n := range whole {
 		if got, err := sparcontrol.DecodeShare(whole[:n]); err == nil {
 			t.Errorf("the first %d of %d bytes are decoded as %+v, want an error", n, len(whole), got)
--- a/internal/peer/sparcontrol/fuzz_test.go
+++ b/internal/peer/sparcontrol/fuzz_test.go
@@ -44,13 +44,13 @@
 
 // FuzzDecodeShare decodes damaged shares and merges those that are accepted.
 func FuzzDecodeShare(f *testing.F) {
-	f.Add(sparcontrol.EncodeShare(sparregistry.Registry{}.Reading([]sparregistry.Entry{
+	f.Add(sparcontrol.EncodeShare(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
-	}, 6).Share(0)))
+	}, 6).Delta(0)))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		s, err := sparcontrol.DecodeShare(b)
 		if err == nil {
-			sparregistry.Registry{}.WithShare(s)
+			sparregistry.Registry{}.WithDelta(s)
 		}
 	})
 }
--- a/internal/peer/sparcontrol/share.go
+++ b/internal/peer/sparcontrol/share.go
@@ -14,7 +14,7 @@
 
 // EncodeShare encodes and compresses a delta or full copy of a registry. The entries of
 // a fleet are alike, so they compress to a fraction of their size.
-func EncodeShare(s sparregistry.Share) []byte {
+func EncodeShare(s sparregistry.Delta) []byte {
 	return s2.Encode(nil, marshal(&Share{
 		After: s.After, Entries: convert(s.Entries, fromEntry), Base: s.Base, Revision: s.Revision, Synced: s.Synced,
 	}))
@@ -22,7 +22,7 @@
 
 // DecodeShare decodes the output of EncodeShare. It returns an error if the bytes are
 // damaged or decompress to more than maxShare.
-func DecodeShare(b []byte) (s sparregistry.Share, err error) {
+func DecodeShare(b []byte) (s sparregistry.Delta, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotate(err, "share")
@@ -30,20 +30,20 @@
 	}()
 	size, err := s2.DecodedLen(b)
 	if err != nil {
-		return sparregistry.Share{}, err
+		return sparregistry.Delta{}, err
 	}
 	if size > maxShare {
-		return sparregistry.Share{}, errors.Errorf("%d bytes, expected at most %d", size, maxShare)
+		return sparregistry.Delta{}, errors.Errorf("%d bytes, expected at most %d", size, maxShare)
 	}
 	plain, err := s2.Decode(nil, b)
 	if err != nil {
-		return sparregistry.Share{}, err
+		return sparregistry.Delta{}, err
 	}
 	var m Share
 	if err := proto.Unmarshal(plain, &m); err != nil {
-		return sparregistry.Share{}, err
+		return sparregistry.Delta{}, err
 	}
-	return sparregistry.Share{
+	return sparregistry.Delta{
 		After: m.After, Entries: convert(m.Entries, toEntry), Base: m.Base, Revision: m.Revision, Synced: m.Synced,
 	}, nil
 }
--- a/internal/route/sparroute/place.go
+++ b/internal/route/sparroute/place.go
@@ -24,7 +24,7 @@
 			return e.openRetransmitted(g, sl, key, f)
 		default:
 			e.forget(g, key)
-			if e.opens(g, f.upstream) {
+			if e.acceptsFlows(g, f.upstream) {
 				e.stats.Openings++
 				return e.commit(g, sl, key, f.upstream, 0)
 			}
@@ -50,7 +50,7 @@
 		return e.toUpstream(g, key, f.upstream)
 	}
 	e.recordFailure(g, f.upstream)
-	if e.opens(g, f.upstream) && e.healthy(g, f.upstream) {
+	if e.acceptsFlows(g, f.upstream) && e.healthy(g, f.upstream) {
 		return e.toUpstream(g, key, f.upstream)
 	}
 	e.stats.Retries++
@@ -91,7 +91,7 @@
 		return e.forwardOpening(g, key, f)
 	}
 	if !e.view.Settled {
-		if sl.defaultUpstream != avoid && e.opens(g, sl.defaultUpstream) {
+		if sl.defaultUpstream != avoid && e.acceptsFlows(g, sl.defaultUpstream) {
 			f.upstream = sl.defaultUpstream
 			return e.forwardOpening(g, key, f)
 		}
@@ -133,7 +133,7 @@
 
 // usable reports whether a new flow may go to the upstream at.
 func (e *Engine) usable(g *group, at sparflow.Endpoint, b bound) bool {
-	if !e.opens(g, at) || !e.healthy(g, at) {
+	if !e.acceptsFlows(g, at) || !e.healthy(g, at) {
 		return false
 	}
 	return float64(g.load.estimate(at)+1) <= b.limit(e.weight(g, at))
@@ -146,7 +146,7 @@
 	least := math.MaxInt
 	for _, healthyOnly := range []bool{true, false} {
 		for _, u := range g.service.Upstreams {
-			if !e.opens(g, u.At) || healthyOnly && !e.healthy(g, u.At) {
+			if !e.acceptsFlows(g, u.At) || healthyOnly && !e.healthy(g, u.At) {
 				continue
 			}
 			if n := g.load.estimate(u.At); n < least {
@@ -160,10 +160,10 @@
 	return 0
 }
 
-// opens reports whether the settings let an upstream take new flows.
-func (e *Engine) opens(g *group, at sparflow.Endpoint) bool {
+// acceptsFlows reports whether the settings let an upstream take new flows.
+func (e *Engine) acceptsFlows(g *group, at sparflow.Endpoint) bool {
 	u, ok := g.service.Upstream(at)
-	return ok && u.Opens()
+	return ok && u.AcceptsFlows()
 }
 
 // bound is the number of flows per unit of weight that an upstream may have.
@@ -176,7 +176,7 @@
 func (e *Engine) bounds(g *group) bound {
 	total, weight := 1, 0.0
 	for _, u := range g.service.Upstreams {
-		if !u.Opens() {
+		if !u.AcceptsFlows() {
 			continue
 		}
 		total += g.load.estimate(u.At)
--- a/internal/route/sparroute/settings.go
+++ b/internal/route/sparroute/settings.go
@@ -95,7 +95,7 @@
 	var openRanks []uint64
 	var open []sparflow.Endpoint
 	for i, u := range g.service.Upstreams {
-		if u.Opens() {
+		if u.AcceptsFlows() {
 			openRanks = append(openRanks, g.ranks[i])
 			open = append(open, u.At)
 		}
@@ -116,7 +116,7 @@
 	kept := 0
 	carries := map[sparflow.Endpoint]bool{}
 	for _, u := range g.service.Upstreams {
-		if u.Gone(e.wall) {
+		if u.DrainEnded(e.wall) {
 			continue
 		}
 		carries[u.At] = true
@@ -145,7 +145,7 @@
 // expireDrains ends the drains that have reached their deadline.
 func (e *Engine) expireDrains(g *group) {
 	for _, u := range g.service.Upstreams {
-		if !g.carries[u.At] || !u.Gone(e.wall) {
+		if !g.carries[u.At] || !u.DrainEnded(e.wall) {
 			continue
 		}
 		e.emit(Event{
--- a/internal/settings/sparconfig/service.go
+++ b/internal/settings/sparconfig/service.go
@@ -253,11 +253,11 @@
 	return append(text, '\n')
 }
 
-// Opens reports whether u takes new flows.
-func (u Upstream) Opens() bool { return !u.Draining }
+// AcceptsFlows reports whether u takes new flows.
+func (u Upstream) AcceptsFlows() bool { return !u.Draining }
 
-// Gone reports whether the drain of u has ended at the wall time now.
-func (u Upstream) Gone(now time.Time) bool {
+// DrainEnded reports whether the drain of u has ended at the wall time now.
+func (u Upstream) DrainEnded(now time.Time) bool {
 	return u.Draining && !now.Before(u.Until)
 }
 
--- a/internal/settings/sparconfig/snapshot.go
+++ b/internal/settings/sparconfig/snapshot.go
@@ -70,13 +70,13 @@
 // Service returns the service named team/service.
 func (s Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Accepts returns the service that clients reach at an address.
-func (s Snapshot) Accepts(proto sparflow.Proto, at sparflow.Endpoint) *Service {
+// ServiceAt returns the service that clients reach at an address.
+func (s Snapshot) ServiceAt(proto sparflow.Proto, at sparflow.Endpoint) *Service {
 	return s.byAddress[binding{proto, at}]
 }
 
-// Answers returns the service of the upstream at an address.
-func (s Snapshot) Answers(proto sparflow.Proto, at sparflow.Endpoint) *Service {
+// ServiceOfUpstream returns the service of the upstream at an address.
+func (s Snapshot) ServiceOfUpstream(proto sparflow.Proto, at sparflow.Endpoint) *Service {
 	return s.byUpstream[binding{proto, at}]
 }
 
@@ -94,7 +94,7 @@
 // time now.
 func (s *Service) Carries(at sparflow.Endpoint, now time.Time) bool {
 	u, ok := s.Upstream(at)
-	return ok && !u.Gone(now)
+	return ok && !u.DrainEnded(now)
 }
 
 func (s *Snapshot) add(service *Service) {
--- a/internal/settings/sparconfig/vm.go
+++ b/internal/settings/sparconfig/vm.go
@@ -92,8 +92,8 @@
 func (GeneveCarrier) carrier() {}
 func (CookieCarrier) carrier() {}
 
-// Wire returns the carrier of the VM and its settings.
-func (f File) Wire() Carrier {
+// CarrierSettings returns the carrier of the VM and its settings.
+func (f File) CarrierSettings() Carrier {
 	if f.Carrier == Cookie {
 		return CookieCarrier{
 			Ready: f.Ready, Force: time.Duration(f.Force) * time.Millisecond, Grace: time.Duration(f.Grace) * time.Second,
--- a/internal/settings/sparregistry/registry.go
+++ b/internal/settings/sparregistry/registry.go
@@ -9,7 +9,7 @@
 //	r = r.With(sparregistry.Entry{Key: "a", Value: []byte("old"), Revision: 5})
 //	r.Get("a") // "new" at revision 7
 //
-// Registries are immutable values; With, Reading and the like return changed copies.
+// Registries are immutable values; With, WithFullRead and the like return changed copies.
 package sparregistry
 
 import (
@@ -38,10 +38,9 @@
 		synced   bool
 	}
 
-	// Share is what a VM sends to a peer of its registry: a delta of the entries that
-	// have changed after a revision and the deletions on record since then, or a full
-	// copy.
-	Share struct {
+	// Delta is what a VM sends to a peer of its registry: the entries that have changed
+	// after a revision and the deletions on record since then, or a full copy.
+	Delta struct {
 		After    uint64 // 0 for a full copy
 		Entries  []Entry
 		Base     uint64 // digest of the live entries that have not changed after After
@@ -79,17 +78,17 @@
 	return n
 }
 
-// Share returns the delta for a peer whose registry is complete at after, or a full copy if
+// Delta returns the delta for a peer whose registry is complete at after, or a full copy if
 // after is 0.
-func (r Registry) Share(after uint64) Share {
-	s := Share{After: after, Entries: []Entry{}, Base: r.baseDigest(after), Revision: r.revision, Synced: r.synced}
+func (r Registry) Delta(after uint64) Delta {
+	d := Delta{After: after, Entries: []Entry{}, Base: r.baseDigest(after), Revision: r.revision, Synced: r.synced}
 	for _, e := range r.entries {
 		if e.Revision > after {
-			s.Entries = append(s.Entries, e)
+			d.Entries = append(d.Entries, e)
 		}
 	}
-	slices.SortFunc(s.Entries, func(a, b Entry) int { return strings.Compare(a.Key, b.Key) })
-	return s
+	slices.SortFunc(d.Entries, func(a, b Entry) int { return strings.Compare(a.Key, b.Key) })
+	return d
 }
 
 // baseDigest returns the digest of the live entries that have not changed after a revision.
@@ -140,20 +139,20 @@
 	return next
 }
 
-// Reading returns r merged with the entries of a full read of the platform at revision.
+// WithFullRead returns r merged with the entries of a full read of the platform at revision.
 // Keys that are not among them are deleted, unless r holds them at revision or later, so
 // that an old read deletes nothing newer. A read of several pages may contain entries of
 // later revisions and lack others, so the result is complete at revision only.
-func (r Registry) Reading(entries []Entry, revision uint64) Registry {
+func (r Registry) WithFullRead(entries []Entry, revision uint64) Registry {
 	next := r.replace(entries, 0, revision)
 	next.revision = max(r.revision, revision)
 	next.synced = true
 	return next
 }
 
-// WithSome returns r merged with an incomplete set of entries. It remains complete at the
+// WithPartial returns r merged with an incomplete set of entries. It remains complete at the
 // revision that it had.
-func (r Registry) WithSome(entries []Entry) Registry { return r.merge(entries) }
+func (r Registry) WithPartial(entries []Entry) Registry { return r.merge(entries) }
 
 // replace returns r merged with entries, the complete set of live entries that changed
 // between after and revision. Other keys of r that changed in between are deleted.
@@ -190,16 +189,16 @@
 	return next, true
 }
 
-// WithShare returns r merged with the share of a peer. A peer that has started recently never
+// WithDelta returns r merged with the delta of a peer. A peer that has started recently never
 // held some of the deleted keys and so can't include their deletions. Therefore the digests of
 // the older entries of both are compared. If they differ, a deletion is missing: complete is
 // false and the result remains complete only at the revision of r.
-func (r Registry) WithShare(s Share) (next Registry, complete bool) {
-	next = r.replace(s.Entries, s.After, s.Revision)
-	if !s.Synced || next.baseDigest(s.After) != s.Base {
+func (r Registry) WithDelta(d Delta) (next Registry, complete bool) {
+	next = r.replace(d.Entries, d.After, d.Revision)
+	if !d.Synced || next.baseDigest(d.After) != d.Base {
 		return next, false
 	}
-	next.revision = max(r.revision, s.Revision)
+	next.revision = max(r.revision, d.Revision)
 	next.synced = true
 	return next, true
 }
--- a/internal/settings/sparregistry/registry_test.go
+++ b/internal/settings/sparregistry/registry_test.go
@@ -44,7 +44,7 @@
 func TestFullReadDeletesOnlyOlderKeys(t *testing.T) {
 	var r sparregistry.Registry
 	r = r.With(sparregistry.Entry{Key: "old", Revision: 3}, sparregistry.Entry{Key: "late", Revision: 9})
-	r = r.Reading(nil, 5)
+	r = r.WithFullRead(nil, 5)
 	if _, ok := r.Get("old"); ok {
 		t.Error("a key that is missing from the read was not deleted")
 	}
@@ -61,13 +61,13 @@
 	}
 	// The first page contains a at 5. Then a changes at 11 and z at 12; the second page
 	// contains only z.
-	reader := sparregistry.Registry{}.Reading([]sparregistry.Entry{entry("a", 5), entry("z", 12)}, 10)
+	reader := sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{entry("a", 5), entry("z", 12)}, 10)
 	if reader.Revision() != 10 {
 		t.Errorf("complete at %d, want 10", reader.Revision())
 	}
-	follower, _ := sparregistry.Registry{}.WithShare(reader.Share(0))
-	reader = reader.Reading([]sparregistry.Entry{entry("a", 11), entry("z", 12)}, 12)
-	follower, _ = follower.WithShare(reader.Share(follower.Revision()))
+	follower, _ := sparregistry.Registry{}.WithDelta(reader.Delta(0))
+	reader = reader.WithFullRead([]sparregistry.Entry{entry("a", 11), entry("z", 12)}, 12)
+	follower, _ = follower.WithDelta(reader.Delta(follower.Revision()))
 	if follower.Digest() != reader.Digest() || follower.Revision() != 12 {
 		t.Errorf("the follower misses a change, complete at %d", follower.Revision())
 	}
@@ -76,7 +76,7 @@
 // TestIncompleteChangesAreRefused merges the changes of incremental reads. Those that lack
 // some must be refused.
 func TestIncompleteChangesAreRefused(t *testing.T) {
-	start := sparregistry.Registry{}.Reading([]sparregistry.Entry{{Key: "a", Revision: 3}, {Key: "b", Revision: 4}}, 5)
+	start := sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{{Key: "a", Revision: 3}, {Key: "b", Revision: 4}}, 5)
 	entries := []sparregistry.Entry{{Key: "a", Revision: 7}, {Key: "b", Revision: 8, Deleted: true}}
 	tests := []struct {
 		name      string
@@ -121,7 +121,7 @@
 	}
 	// b is deleted at 3, c written at 4; x is written at 5 and deleted at 6, d written at 7.
 	read := func(revision uint64, entries ...sparregistry.Entry) sparregistry.Registry {
-		return sparregistry.Registry{}.Reading(entries, revision)
+		return sparregistry.Registry{}.WithFullRead(entries, revision)
 	}
 	fresh := read(7, entry("a", 1), entry("c", 4), entry("d", 7))
 	tests := []struct {
@@ -139,16 +139,16 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			share := fresh.Share(test.follower.Revision())
-			next, complete := test.follower.WithShare(share)
-			if complete != test.complete || len(share.Entries) != test.entries {
-				t.Fatalf("complete: %v with %d entries, want %v with %d", complete, len(share.Entries), test.complete, test.entries)
+			delta := fresh.Delta(test.follower.Revision())
+			next, complete := test.follower.WithDelta(delta)
+			if complete != test.complete || len(delta.Entries) != test.entries {
+				t.Fatalf("complete: %v with %d entries, want %v with %d", complete, len(delta.Entries), test.complete, test.entries)
 			}
 			if !complete {
 				if next.Revision() != test.follower.Revision() {
 					t.Errorf("complete at %d, want %d still", next.Revision(), test.follower.Revision())
 				}
-				next, complete = next.WithShare(fresh.Share(0))
+				next, complete = next.WithDelta(fresh.Delta(0))
 			}
 			for _, key := range []string{"b", "x"} {
 				if _, ok := next.Get(key); ok {
--- a/internal/settings/sparroster/roster.go
+++ b/internal/settings/sparroster/roster.go
@@ -187,8 +187,8 @@
 	return slices.Sorted(maps.Keys(r.routes))
 }
 
-// Takes reports whether the service is a target of the route, whatever its weight.
-func (r Route) Takes(service string) bool {
+// HasTarget reports whether the service is a target of the route, whatever its weight.
+func (r Route) HasTarget(service string) bool {
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service == service })
 }
 
--- a/internal/settings/sparroster/roster_test.go
+++ b/internal/settings/sparroster/roster_test.go
@@ -33,7 +33,7 @@
 	)
 	roster := sparroster.New(r, decode)
 	route, ok := roster.Route(front)
-	fmt.Println(len(roster.Upstreams), route.Takes("a"), route.Takes("b"), ok)
+	fmt.Println(len(roster.Upstreams), route.HasTarget("a"), route.HasTarget("b"), ok)
 	fmt.Println(roster.Problems[0].Key, roster.Problems[0].Cause)
 	// Output:
 	// 1 true false true
@@ -42,7 +42,7 @@
 
 func TestDeletedEntriesAreLeftOut(t *testing.T) {
 	r := sparregistry.Registry{}.With(sparregistry.Entry{Key: "upstream/1", Value: []byte("a"), Revision: 2})
-	r = r.Reading(nil, 3)
+	r = r.WithFullRead(nil, 3)
 	if roster := sparroster.New(r, decode); len(roster.Upstreams) != 0 {
 		t.Errorf("upstreams %v", roster.Upstreams)
 	}
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -140,7 +140,7 @@
 			err = errors.Annotatef(err, "VM %s", file.Name)
 		}
 	}()
-	carrier, ok := file.Wire().(sparconfig.CookieCarrier)
+	carrier, ok := file.CarrierSettings().(sparconfig.CookieCarrier)
 	if !ok {
 		return nil, errors.Errorf("carrier %s, expected %s", file.Carrier, sparconfig.Cookie)
 	}
@@ -261,7 +261,7 @@
 // time. Addresses stay.
 func (vm *VM) reload(file sparconfig.File) {
 	vm.file.Seeds = file.Seeds
-	if carrier, ok := file.Wire().(sparconfig.CookieCarrier); ok {
+	if carrier, ok := file.CarrierSettings().(sparconfig.CookieCarrier); ok {
 		vm.carrier.Grace = carrier.Grace
 	}
 	vm.sync.Seeds(file.Seeds)
--- a/internal/vm/sparentry/pull.go
+++ b/internal/vm/sparentry/pull.go
@@ -42,7 +42,7 @@
 	// pullDecision is the event loop's reply to a pull.
 	pullDecision struct {
 		reply *sparcontrol.PullReply
-		delta sparregistry.Share // to be encoded if the cache has no encoded copy
+		delta sparregistry.Delta // to be encoded if the cache has no encoded copy
 		key   deltaKey
 	}
 
@@ -140,7 +140,7 @@
 	}
 	vm.metrics.served.Add(1)
 	if a.reply.Share = vm.deltas.get(a.key); a.reply.Share == nil {
-		a.delta = vm.registry.Share(p.after)
+		a.delta = vm.registry.Delta(p.after)
 	}
 	return a
 }
--- a/internal/vm/sparentry/pull_test.go
+++ b/internal/vm/sparentry/pull_test.go
@@ -37,8 +37,8 @@
 			if err != nil || reply.Busy {
 				return false
 			}
-			if share, err := sparcontrol.DecodeShare(reply.Share); err != nil || len(share.Entries) == 0 {
-				t.Fatalf("share %+v, error %v", share, err)
+			if delta, err := sparcontrol.DecodeShare(reply.Share); err != nil || len(delta.Entries) == 0 {
+				t.Fatalf("delta %+v, error %v", delta, err)
 			}
 		}
 		return true
--- a/internal/vm/sparentry/read.go
+++ b/internal/vm/sparentry/read.go
@@ -129,11 +129,11 @@
 func (vm *VM) withFullRead(r fullRead, now time.Duration) sparregistry.Registry {
 	settling := vm.sync.Failing() || vm.sync.Settling(now)
 	if !settling {
-		return vm.registry.Reading(r.Entries, r.Revision)
+		return vm.registry.WithFullRead(r.Entries, r.Revision)
 	}
 	if missing := vm.registry.Missing(sparroster.UpstreamPrefix, r.Entries); missing > 0 {
 		vm.logRetained(missing)
-		return vm.registry.WithSome(r.Entries)
+		return vm.registry.WithPartial(r.Entries)
 	}
-	return vm.registry.Reading(r.Entries, r.Revision)
+	return vm.registry.WithFullRead(r.Entries, r.Revision)
 }
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -27,7 +27,7 @@
 		pull  pull
 		reply *sparcontrol.PullReply
 		age   time.Duration      // of the settings of the peer
-		delta sparregistry.Share // unless the peer is overloaded or has no settings
+		delta sparregistry.Delta // unless the peer is overloaded or has no settings
 		err   error
 	}
 
@@ -98,7 +98,7 @@
 	case !r.Synced:
 		vm.perform(vm.sync.PullFailed(now), now)
 	default:
-		next, complete := vm.registry.WithShare(in.delta)
+		next, complete := vm.registry.WithDelta(in.delta)
 		vm.adopt(next, from.Name)
 		vm.perform(vm.sync.Pulled(from, r.Reader, in.pull.began-in.age, complete, now), now)
 	}
--- a/internal/vm/sparnode/facts.go
+++ b/internal/vm/sparnode/facts.go
@@ -34,7 +34,7 @@
 	for _, u := range service.Upstreams {
 		use := n.Engine.Use(name, u.At)
 		facts.Upstreams = append(facts.Upstreams, &sparcontrol.UpstreamFacts{
-			At: uint64(u.At), Draining: u.Draining, Gone: u.Gone(n.wall), Until: u.Until.Unix(),
+			At: uint64(u.At), Draining: u.Draining, Gone: u.DrainEnded(n.wall), Until: u.Until.Unix(),
 			Flows: uint32(use.Flows), Healthy: use.Healthy, Unrecorded: use.Unrecorded,
 		})
 	}
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -255,7 +255,7 @@
 func (l *lab) pull(vm *labVM, p sparnode.Pull) {
 	requester := vm.name
 	l.send(requester, p.From.Name, 0, func(peer *labVM) {
-		share := peer.node.Registry().Share(p.After)
+		share := peer.node.Registry().Delta(p.After)
 		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(share) })
 	})
 }
@@ -280,7 +280,7 @@
 		vm.node.Advance(l.now, l.wall())
 		snapshot := vm.node.Snapshot()
 		var v sparroute.Verdict
-		back := snapshot.Accepts(s.Proto, s.To) == nil && snapshot.Answers(s.Proto, s.From) != nil
+		back := snapshot.ServiceAt(s.Proto, s.To) == nil && snapshot.ServiceOfUpstream(s.Proto, s.From) != nil
 		if back {
 			v = vm.node.Engine.Return(s)
 		} else {
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -9,13 +9,13 @@
 
 // Reading merges a full read of the platform.
 func (n *Node) Reading(entries []sparregistry.Entry, revision uint64) {
-	n.setRegistry(n.registry.Reading(entries, revision))
+	n.setRegistry(n.registry.WithFullRead(entries, revision))
 }
 
 // Merge merges the settings that a peer sent. If changes are still missing, the digests
 // keep differing and the next pull requests everything.
-func (n *Node) Merge(s sparregistry.Share) {
-	next, _ := n.registry.WithShare(s)
+func (n *Node) Merge(d sparregistry.Delta) {
+	next, _ := n.registry.WithDelta(d)
 	n.setRegistry(next)
 }
 
--- a/internal/vm/sparserver/calls.go
+++ b/internal/vm/sparserver/calls.go
@@ -72,12 +72,12 @@
 	for {
 		select {
 		case pull := <-s.pulls.Out():
-			share, err := s.pull(ctx, pull)
+			delta, err := s.pull(ctx, pull)
 			if err != nil {
 				s.log.WithError(err).Debug("pulling settings failed")
 				continue
 			}
-			s.inputs.Put(pullInput{share: share})
+			s.inputs.Put(pullInput{delta: delta})
 		case <-ctx.Done():
 			return nil
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *Server) pull(ctx context.Context, pull sparnode.Pull) (share sparregistry.Share, err error) {
+func (s *Server) pull(ctx context.Context, pull sparnode.Pull) (delta sparregistry.Delta, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotatef(err, "pull from %s", pull.From.Control)
@@ -109,7 +109,7 @@
 	peer := sparcontrol.Dial(pull.From.Control, s.metrics.countBytes(http.DefaultTransport))
 	reply, err := peer.Pull(ctx, &sparcontrol.PullRequest{After: pull.After})
 	if err != nil {
-		return sparregistry.Share{}, err
+		return sparregistry.Delta{}, err
 	}
 	return sparcontrol.DecodeShare(reply.Share)
 }
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -44,13 +44,13 @@
 
 // Pull implements Control.
 func (h handler) Pull(ctx context.Context, r *sparcontrol.PullRequest) (*sparcontrol.PullReply, error) {
-	share, err := sparring.Query(ctx, h.server.queries, func(s *Server) sparregistry.Share {
-		return s.node.Registry().Share(r.After)
+	delta, err := sparring.Query(ctx, h.server.queries, func(s *Server) sparregistry.Delta {
+		return s.node.Registry().Delta(r.After)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &sparcontrol.PullReply{Share: sparcontrol.EncodeShare(share), Synced: share.Synced}, nil
+	return &sparcontrol.PullReply{Share: sparcontrol.EncodeShare(delta), Synced: delta.Synced}, nil
 }
 
 // Facts implements Control. The reply has the id of its request.
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -152,8 +152,8 @@
 // route returns the verdict on a packet. A packet from an upstream of a service is on its
 // way to a client, unless it is sent to a service address. All others are from clients.
 func (s *Server) route(segment sparroute.Segment) sparroute.Verdict {
-	if s.node.Snapshot().Accepts(segment.Proto, segment.To) == nil &&
-		s.node.Snapshot().Answers(segment.Proto, segment.From) != nil {
+	if s.node.Snapshot().ServiceAt(segment.Proto, segment.To) == nil &&
+		s.node.Snapshot().ServiceOfUpstream(segment.Proto, segment.From) != nil {
 		return s.node.Engine.Return(segment)
 	}
 	return s.node.Engine.Forward(segment)
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -104,7 +104,7 @@
 
 	// pullInput holds the settings pulled from another VM.
 	pullInput struct {
-		share sparregistry.Share
+		delta sparregistry.Delta
 	}
 )
 
@@ -232,7 +232,7 @@
 			s.node.Reading(in.listing.Entries, in.listing.Revision)
 		}
 	case pullInput:
-		s.node.Merge(in.share)
+		s.node.Merge(in.delta)
 	}
 	s.perform(s.node.Drain())
 }
