--- a/internal/route/sparcookie/engine.go
+++ b/internal/route/sparcookie/engine.go
@@ -104,8 +104,8 @@
 // Advance sets the monotonic time for the calls that follow.
 func (e *Engine) Advance(now time.Duration) { e.now = now }
 
-// Fresh sets whether the roster is recent enough to refuse flows on its basis.
-func (e *Engine) Fresh(fresh bool) { e.fresh = fresh }
+// SetFresh sets whether the roster is recent enough to refuse flows on its basis.
+func (e *Engine) SetFresh(fresh bool) { e.fresh = fresh }
 
 // Roster returns the settings in force.
 func (e *Engine) Roster() sparroster.Roster { return e.roster }
@@ -147,7 +147,7 @@
 			u = e.addUpstream(u, entry)
 		}
 		if u.Draining != entry.Draining || u.removed {
-			e.emit(UpstreamListed{Upstream: entry})
+			e.emit(UpstreamUpdated{Upstream: entry})
 		}
 		u.Upstream, u.removed = entry, false
 		u.warmUntil = max(u.warmUntil, e.now+entry.Warm)
@@ -159,7 +159,7 @@
 	for id, u := range e.upstreams {
 		if !inRoster[id] && !u.removed {
 			u.removed, u.removedAt = true, e.now
-			e.emit(UpstreamLeft{Upstream: u.Upstream})
+			e.emit(UpstreamRemoved{Upstream: u.Upstream})
 		}
 	}
 }
@@ -190,7 +190,7 @@
 		}
 	}
 	e.upstreams[entry.ID] = u
-	e.emit(UpstreamListed{Upstream: entry})
+	e.emit(UpstreamUpdated{Upstream: entry})
 	return u
 }
 
@@ -224,19 +224,19 @@
 	}
 }
 
-// Use is the load and health of one upstream as seen by this VM.
-type Use struct {
+// UpstreamState is the load and health of one upstream as seen by this VM.
+type UpstreamState struct {
 	Upstream sparroster.Upstream
 	Flows    int  // open flows on record
 	Healthy  bool // its health allows new flows
 }
 
-// Uses returns the use of each upstream in the roster, in the order of the roster.
-func (e *Engine) Uses() []Use {
-	uses := make([]Use, 0, len(e.roster.Upstreams))
+// UpstreamStates returns the state of each upstream in the roster, in the order of the roster.
+func (e *Engine) UpstreamStates() []UpstreamState {
+	states := make([]UpstreamState, 0, len(e.roster.Upstreams))
 	for _, entry := range e.roster.Upstreams {
 		u := e.upstreams[entry.ID]
-		uses = append(uses, Use{Upstream: entry, Flows: u.flows, Healthy: u.health.Opens()})
+		states = append(states, UpstreamState{Upstream: entry, Flows: u.flows, Healthy: u.health.AcceptsFlows()})
 	}
-	return uses
+	return states
 }
--- a/internal/route/sparcookie/engine_test.go
+++ b/internal/route/sparcookie/engine_test.go
@@ -71,7 +71,7 @@
 		{Address: receiptsAddr, Targets: []sparroster.Target{{Service: receipts, Weight: 1}}},
 	}
 	f.apply()
-	f.engine.Fresh(true)
+	f.engine.SetFresh(true)
 	return f
 }
 
@@ -144,7 +144,7 @@
 // open sends the SYN.
 func (c *client) open() sparcookie.Verdict {
 	s := c.s
-	s.Kind = sparcookie.Opening
+	s.Kind = sparcookie.SYN
 	v := c.f.forward(s)
 	c.upstream, c.s.Cookie = v.ID, v.Cookie
 	return v
--- a/internal/route/sparcookie/flow.go
+++ b/internal/route/sparcookie/flow.go
@@ -112,7 +112,7 @@
 		return 0, false
 	}
 	f.requestedAt = 0
-	e.stats.Lost++
+	e.stats.Abandoned++
 	f.upstream.abandoned.add(e.now, abandonedSpan)
 	return waited, true
 }
@@ -138,7 +138,7 @@
 // emitHealth emits an event if the health of u has changed.
 func (e *Engine) emitHealth(u *upstream, changed bool) {
 	if changed {
-		e.emit(UpstreamJudged{Upstream: u.Upstream, State: u.health.State(), Silent: e.now - u.lastResponse})
+		e.emit(HealthChanged{Upstream: u.Upstream, State: u.health.State(), Silent: e.now - u.lastResponse})
 	}
 }
 
--- a/internal/route/sparcookie/forward.go
+++ b/internal/route/sparcookie/forward.go
@@ -24,7 +24,7 @@
 		return e.forwardRelayed(s)
 	}
 	rec := e.routes[s.To]
-	if s.Kind == Opening {
+	if s.Kind == SYN {
 		return e.forwardSYN(rec, s)
 	}
 	if rec == nil && e.roster.Revision == 0 {
@@ -110,7 +110,7 @@
 		return e.forwardUnrouted(key, u)
 	}
 	obs := e.observe(f, s)
-	if s.Kind == Finishing || s.Kind == Resetting {
+	if s.Kind == FIN || s.Kind == RST {
 		if waited, abandoned := e.noteAbandoned(f); abandoned {
 			obs.abandoned, obs.waited = true, waited
 		}
@@ -123,11 +123,11 @@
 	v := Verdict{}
 	if via := e.pickRelay(f, s, obs); via != 0 {
 		v = e.send(Assisted, u)
-		v.Helper = via
+		v.Relay = via
 	} else {
 		v = e.send(Carried, u)
 	}
-	v.Answered, v.First, v.Unanswered, v.Lost, v.Waited = obs.answered, obs.first, obs.retransmitted, obs.abandoned, obs.waited
+	v.Answered, v.First, v.Unanswered, v.Abandoned, v.Waited = obs.answered, obs.first, obs.retransmitted, obs.abandoned, obs.waited
 	return v
 }
 
--- a/internal/route/sparcookie/forward_test.go
+++ b/internal/route/sparcookie/forward_test.go
@@ -88,9 +88,9 @@
 func TestRefusals(t *testing.T) {
 	f := newFixture(t)
 	wantVerdict(t, f.newClient(unroutedAddr).open(), sparcookie.Reset, sparcookie.NoRoute)
-	f.engine.Fresh(false)
+	f.engine.SetFresh(false)
 	wantVerdict(t, f.newClient(unroutedAddr).open(), sparcookie.Drop, sparcookie.NotFresh)
-	f.engine.Fresh(true)
+	f.engine.SetFresh(true)
 	for id := range uint64(5) {
 		f.edit(id+1, func(u *sparroster.Upstream) { u.Draining = true })
 	}
@@ -105,9 +105,9 @@
 	c.ackHandshake()
 	f.routes = f.routes[1:]
 	f.apply()
-	f.engine.Fresh(false)
+	f.engine.SetFresh(false)
 	wantVerdict(t, c.request(), sparcookie.ToUpstream, sparcookie.Carried)
-	f.engine.Fresh(true)
+	f.engine.SetFresh(true)
 	wantVerdict(t, c.request(), sparcookie.Reset, sparcookie.RouteDropped)
 }
 
@@ -223,12 +223,12 @@
 	for range 50 { // flows that are not on record end
 		c := f.newClient(bookingAddr)
 		c.open()
-		c.s.Kind = sparcookie.Finishing
+		c.s.Kind = sparcookie.FIN
 		c.ackHandshake()
 	}
-	for _, use := range f.engine.Uses() {
-		if use.Flows < 0 {
-			t.Errorf("%d flows at upstream %d", use.Flows, use.Upstream.ID)
+	for _, state := range f.engine.UpstreamStates() {
+		if state.Flows < 0 {
+			t.Errorf("%d flows at upstream %d", state.Flows, state.Upstream.ID)
 		}
 	}
 	f.wait(20 * time.Second)
--- a/internal/route/sparcookie/hashing_test.go
+++ b/internal/route/sparcookie/hashing_test.go
@@ -172,7 +172,7 @@
 		s.failed++
 		if c.open {
 			last := c.s
-			last.Kind = sparcookie.Finishing
+			last.Kind = sparcookie.FIN
 			s.send(c, last)
 		}
 		s.end(c)
@@ -190,7 +190,7 @@
 		s.send(c, c.s)
 		if c.shortLived {
 			last := c.s
-			last.Kind = sparcookie.Finishing
+			last.Kind = sparcookie.FIN
 			s.send(c, last)
 			c.open = false
 		}
@@ -215,7 +215,7 @@
 
 func (s *sim) sendSYN(c *simClient) {
 	o := c.s
-	o.Kind, o.Ack = sparcookie.Opening, c.retransmits
+	o.Kind, o.Ack = sparcookie.SYN, c.retransmits
 	c.sentAt = s.now
 	v := s.send(c, o)
 	if server := s.servers[v.ID]; server != nil && !server.silent && c.synAckAt == 0 {
--- a/internal/route/sparcookie/place.go
+++ b/internal/route/sparcookie/place.go
@@ -118,7 +118,7 @@
 // ejectOverdue ejects an upstream whose response to a SYN is overdue. A response on any
 // flow ends the ejection.
 func (e *Engine) ejectOverdue(u *upstream) {
-	if u.pendingSince > 0 && e.now-u.pendingSince >= synAckTimeout && u.health.Opens() && e.now-u.lastSYN >= synAckTimeout {
+	if u.pendingSince > 0 && e.now-u.pendingSince >= synAckTimeout && u.health.AcceptsFlows() && e.now-u.lastSYN >= synAckTimeout {
 		e.emitHealth(u, u.health.Ejected(e.now))
 	}
 }
@@ -128,7 +128,7 @@
 	switch {
 	case u.Draining || u.removed:
 		return tierNone
-	case !u.health.Opens(), u.health.Probing() && e.now-u.lastSYN < probeInterval:
+	case !u.health.AcceptsFlows(), u.health.Probing() && e.now-u.lastSYN < probeInterval:
 		return tierUnhealthy
 	case u.Domain == e.domain:
 		return tierLocal
--- a/internal/route/sparcookie/place_test.go
+++ b/internal/route/sparcookie/place_test.go
@@ -182,7 +182,7 @@
 		if v.ID != 1 {
 			t.Errorf("went to upstream %d", v.ID)
 		}
-		relays[v.Helper.String()] = true
+		relays[v.Relay.String()] = true
 	}
 	if len(relays) < 2 || relays["10.9.0.1:1"] {
 		t.Errorf("sent through %v, want several other VMs", relays)
@@ -203,7 +203,7 @@
 	relays := map[string]bool{}
 	for range 4 {
 		f.wait(retransmitAfter)
-		relays[c.request().Helper.String()] = true
+		relays[c.request().Relay.String()] = true
 	}
 	if len(relays) < 3 {
 		t.Errorf("four retransmissions went through %v, want at least three VMs", relays)
@@ -219,10 +219,10 @@
 	relayed.Relayed = true
 	v := f.forward(relayed)
 	wantVerdict(t, v, sparcookie.ToUpstream, sparcookie.Relayed)
-	if v.ID != c.upstream || v.Helper != 0 {
-		t.Errorf("went to %d through %v", v.ID, v.Helper)
+	if v.ID != c.upstream || v.Relay != 0 {
+		t.Errorf("went to %d through %v", v.ID, v.Relay)
 	}
-	relayed.Kind = sparcookie.Opening
+	relayed.Kind = sparcookie.SYN
 	wantVerdict(t, f.forward(relayed), sparcookie.Drop, sparcookie.UnknownCookie)
 	relayed.Kind, relayed.Cookie = sparcookie.Data, 77
 	wantVerdict(t, f.forward(relayed), sparcookie.Drop, sparcookie.UnknownCookie)
--- a/internal/route/sparcookie/relay.go
+++ b/internal/route/sparcookie/relay.go
@@ -60,7 +60,7 @@
 // not update flow records, since the other VM sees the responses to it.
 func (e *Engine) forwardRelayed(s Segment) Verdict {
 	u := e.cookies[s.Cookie]
-	if u == nil || s.Kind == Opening {
+	if u == nil || s.Kind == SYN {
 		return e.drop(UnknownCookie)
 	}
 	return e.send(Relayed, u)
--- a/internal/route/sparcookie/scale_test.go
+++ b/internal/route/sparcookie/scale_test.go
@@ -82,7 +82,7 @@
 			for b.Loop() {
 				c := f.newClient(to)
 				c.open()
-				c.s.Kind = sparcookie.Resetting
+				c.s.Kind = sparcookie.RST
 				f.forward(c.s)
 			}
 		})
--- a/internal/route/sparcookie/verdict.go
+++ b/internal/route/sparcookie/verdict.go
@@ -19,12 +19,12 @@
 const (
 	// Data is a packet without SYN, FIN or RST.
 	Data Kind = iota
-	// Opening is a SYN.
-	Opening
-	// Finishing is a FIN.
-	Finishing
-	// Resetting is a RST.
-	Resetting
+	// SYN opens a flow.
+	SYN
+	// FIN closes one half of a flow.
+	FIN
+	// RST aborts a flow.
+	RST
 )
 
 // Causes of a verdict.
@@ -74,35 +74,35 @@
 		ID     uint64
 		At     sparflow.Endpoint
 		Cookie Cookie
-		Helper sparflow.Endpoint // with Assisted, the VM to send a copy to
+		Relay  sparflow.Endpoint // with Assisted, the VM to send a copy to
 		Silent time.Duration     // since the last response of the upstream to any client of this VM
 
 		Answered   bool          // the packet acknowledges a response
 		First      bool          // the response is the SYN-ACK
 		Unanswered bool          // the packet retransmits data of an unanswered request
-		Lost       bool          // the client abandons an unanswered request
+		Abandoned  bool          // the client abandons an unanswered request
 		Waited     time.Duration // since the first packet of the request, or the first SYN
 	}
 
-	// Event is a change of an upstream. It is a sealed interface: UpstreamListed,
-	// UpstreamLeft or UpstreamJudged.
+	// Event is a change of an upstream. It is a sealed interface: UpstreamUpdated,
+	// UpstreamRemoved or HealthChanged.
 	Event interface {
 		event()
 	}
 
-	// UpstreamListed reports an upstream that is new or back in the roster, has
+	// UpstreamUpdated reports an upstream that is new or back in the roster, has
 	// restarted, or has begun or stopped draining.
-	UpstreamListed struct {
+	UpstreamUpdated struct {
 		Upstream sparroster.Upstream
 	}
 
-	// UpstreamLeft reports an upstream that was removed from the roster.
-	UpstreamLeft struct {
+	// UpstreamRemoved reports an upstream that was removed from the roster.
+	UpstreamRemoved struct {
 		Upstream sparroster.Upstream
 	}
 
-	// UpstreamJudged reports a change in the health of an upstream.
-	UpstreamJudged struct {
+	// HealthChanged reports a change in the health of an upstream.
+	HealthChanged struct {
 		Upstream sparroster.Upstream
 		State    string
 		Silent   time.Duration // since its last response to any client of this VM
@@ -110,14 +110,14 @@
 
 	// Stats holds counts since the start.
 	Stats struct {
-		Verdicts [causeCount]uint64
-		Lost     uint64 // requests that clients gave up unanswered
+		Verdicts  [causeCount]uint64
+		Abandoned uint64 // requests that clients gave up unanswered
 	}
 )
 
-func (UpstreamListed) event() {}
-func (UpstreamLeft) event()   {}
-func (UpstreamJudged) event() {}
+func (UpstreamUpdated) event() {}
+func (UpstreamRemoved) event() {}
+func (HealthChanged) event()   {}
 
 var causeNames = [causeCount]string{
 	"carried", "placed", "repeated", "moved", "no-route", "route-dropped", "no-upstream", "unknown-cookie",
--- a/internal/route/sparhealth/health.go
+++ b/internal/route/sparhealth/health.go
@@ -8,7 +8,7 @@
 //	for range sparhealth.FailureThreshold {
 //		h.Failed(now)
 //	}
-//	h.Opens() // false until BaseEjection has passed, then one new flow probes it
+//	h.AcceptsFlows() // false until BaseEjection has passed, then one new flow probes it
 package sparhealth
 
 import (
@@ -51,16 +51,16 @@
 	since        time.Duration
 }
 
-// Joined returns the health of an upstream whose warm-up starts now.
-func Joined(now time.Duration) Health {
+// NewWarming returns the health of an upstream whose warm-up starts now.
+func NewWarming(now time.Duration) Health {
 	return Health{state: chart.Next(chart.Start(), "joined"), since: now}
 }
 
 // State returns the name of the state as written in logs and events.
 func (h *Health) State() string { return string(h.current()) }
 
-// Opens reports whether the upstream may get new flows.
-func (h *Health) Opens() bool { return chart.Has(h.current(), openMark) }
+// AcceptsFlows reports whether the upstream may get new flows.
+func (h *Health) AcceptsFlows() bool { return chart.Has(h.current(), openMark) }
 
 // Probing reports whether the upstream is half-open: it may get one new flow at a time.
 func (h *Health) Probing() bool { return chart.Has(h.current(), probeMark) }
@@ -105,7 +105,7 @@
 	switch {
 	case chart.Has(h.current(), warmingMark) && now-h.since >= warm:
 		return h.change("warmed", now)
-	case !h.Opens() && now-h.since >= h.ejectionTime():
+	case !h.AcceptsFlows() && now-h.since >= h.ejectionTime():
 		return h.change("retry", now)
 	}
 	return false
--- a/internal/route/sparhealth/health_test.go
+++ b/internal/route/sparhealth/health_test.go
@@ -15,11 +15,11 @@
 	for range sparhealth.FailureThreshold {
 		h.Failed(now)
 	}
-	fmt.Println(h.State(), h.Opens())
+	fmt.Println(h.State(), h.AcceptsFlows())
 	h.Tick(now+sparhealth.BaseEjection, 0)
-	fmt.Println(h.State(), h.Opens())
+	fmt.Println(h.State(), h.AcceptsFlows())
 	h.Answered(now + sparhealth.BaseEjection)
-	fmt.Println(h.State(), h.Opens())
+	fmt.Println(h.State(), h.AcceptsFlows())
 	// Output:
 	// failing false
 	// trial true
@@ -30,7 +30,7 @@
 	var h sparhealth.Health
 	h.Ejected(0)
 	h.Tick(sparhealth.BaseEjection, 0)
-	if !h.Failed(sparhealth.BaseEjection) || h.Opens() {
+	if !h.Failed(sparhealth.BaseEjection) || h.AcceptsFlows() {
 		t.Errorf("state %s after a failed probe", h.State())
 	}
 }
@@ -43,13 +43,13 @@
 		}
 		h.Answered(0)
 	}
-	if !h.Opens() {
+	if !h.AcceptsFlows() {
 		t.Errorf("state %s without %d consecutive failures", h.State(), sparhealth.FailureThreshold)
 	}
 }
 
 func TestWarmUpWeight(t *testing.T) {
-	h := sparhealth.Joined(0)
+	h := sparhealth.NewWarming(0)
 	half := h.Weight(time.Second, 2*time.Second)
 	if half <= 0.1 || half >= 1 {
 		t.Errorf("weight %v in the middle of the warm-up", half)
--- a/internal/route/sparroute/health.go
+++ b/internal/route/sparroute/health.go
@@ -27,12 +27,12 @@
 // unhealthy, the fault is more likely on this side, and all count as healthy.
 func (e *Engine) healthy(g *group, at sparflow.Endpoint) bool {
 	h := g.health[at]
-	if h == nil || h.Opens() {
+	if h == nil || h.AcceptsFlows() {
 		return true
 	}
 	failing := 0
 	for _, other := range g.health {
-		if !other.Opens() {
+		if !other.AcceptsFlows() {
 			failing++
 		}
 	}
@@ -67,7 +67,7 @@
 		}
 		h := &sparhealth.Health{}
 		if !created && g.service.Warm > 0 {
-			*h = sparhealth.Joined(e.now)
+			*h = sparhealth.NewWarming(e.now)
 		}
 		g.health[u.At] = h
 	}
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -272,7 +272,7 @@
 func (vm *VM) tick() {
 	now := vm.clock.now()
 	vm.engine.Advance(time.Since(vm.began))
-	vm.engine.Fresh(vm.sync.Fresh(now))
+	vm.engine.SetFresh(vm.sync.Fresh(now))
 	vm.age = vm.sync.Age(now)
 	vm.engine.Tick()
 	state := vm.sync.State()
--- a/internal/vm/sparentry/facts.go
+++ b/internal/vm/sparentry/facts.go
@@ -23,14 +23,14 @@
 	}
 	routing, _ := vm.registry.Get(sparroster.RoutingKey)
 	services := map[string]*sparcontrol.ServiceFacts{}
-	for _, use := range vm.engine.Uses() {
-		s := services[use.Upstream.Service]
+	for _, state := range vm.engine.UpstreamStates() {
+		s := services[state.Upstream.Service]
 		if s == nil {
-			s = &sparcontrol.ServiceFacts{Name: use.Upstream.Service, Revision: routing.Revision}
+			s = &sparcontrol.ServiceFacts{Name: state.Upstream.Service, Revision: routing.Revision}
 			services[s.Name] = s
 			facts.Services = append(facts.Services, s)
 		}
-		s.Upstreams = append(s.Upstreams, upstreamFacts(use))
+		s.Upstreams = append(s.Upstreams, upstreamFacts(state))
 	}
 	for _, p := range roster.Problems {
 		facts.Problems = append(facts.Problems, &sparcontrol.ProblemFacts{Service: p.Key, Revision: p.Revision, Cause: p.Cause})
@@ -40,10 +40,10 @@
 
 // upstreamFacts never reports an upstream as drained: it may have idle flows that this VM
 // has not seen, and no VM has a record of all flows.
-func upstreamFacts(use sparcookie.Use) *sparcontrol.UpstreamFacts {
+func upstreamFacts(state sparcookie.UpstreamState) *sparcontrol.UpstreamFacts {
 	return &sparcontrol.UpstreamFacts{
-		At: uint64(use.Upstream.At), Draining: use.Upstream.Draining, Flows: uint32(use.Flows),
-		Healthy: use.Healthy, Unrecorded: true,
+		At: uint64(state.Upstream.At), Draining: state.Upstream.Draining, Flows: uint32(state.Flows),
+		Healthy: state.Healthy, Unrecorded: true,
 	}
 }
 
--- a/internal/vm/sparentry/log.go
+++ b/internal/vm/sparentry/log.go
@@ -19,18 +19,18 @@
 		vm.metrics.recordLatency(v.First, v.Waited)
 	}
 	routine := v.Cause == sparcookie.Carried || v.Cause == sparcookie.Relayed
-	if routine && !v.Unanswered && !v.Lost {
+	if routine && !v.Unanswered && !v.Abandoned {
 		return
 	}
 	fields := vm.flowFields(s, v)
-	if v.Lost {
+	if v.Abandoned {
 		vm.log.WithFields(fields).Info("request given up")
 		return
 	}
 	switch v.Cause {
 	case sparcookie.Carried, sparcookie.Assisted:
-		if v.Helper != 0 {
-			fields["through"] = v.Helper.String()
+		if v.Relay != 0 {
+			fields["through"] = v.Relay.String()
 		}
 		vm.log.WithFields(fields).Info("data repeated")
 	case sparcookie.Placed:
@@ -69,11 +69,11 @@
 func (vm *VM) logEvents() {
 	for _, event := range vm.engine.Events() {
 		switch e := event.(type) {
-		case sparcookie.UpstreamListed:
+		case sparcookie.UpstreamUpdated:
 			vm.logUpstream("upstream listed", e.Upstream, logrus.Fields{"draining": e.Upstream.Draining, "warm_ms": e.Upstream.Warm.Milliseconds()})
-		case sparcookie.UpstreamLeft:
+		case sparcookie.UpstreamRemoved:
 			vm.logUpstream("upstream left", e.Upstream, nil)
-		case sparcookie.UpstreamJudged:
+		case sparcookie.HealthChanged:
 			vm.logUpstream("upstream "+e.State, e.Upstream, logrus.Fields{"silent_ms": e.Silent.Milliseconds()})
 		}
 	}
--- a/internal/vm/sparentry/metrics.go
+++ b/internal/vm/sparentry/metrics.go
@@ -72,7 +72,7 @@
 		}
 	}
 	m.last = stats
-	m.count("lost_requests", stats.Lost)
+	m.count("lost_requests", stats.Abandoned)
 }
 
 // count publishes a counter by its total.
--- a/internal/vm/sparentry/packets.go
+++ b/internal/vm/sparentry/packets.go
@@ -85,9 +85,9 @@
 	v := vm.engine.Forward(s)
 	switch v.Action {
 	case sparcookie.ToUpstream:
-		if v.Helper != 0 {
+		if v.Relay != 0 {
 			platform.MarkRelayed(p.bytes())
-			vm.send(p.bytes(), v.Helper)
+			vm.send(p.bytes(), v.Relay)
 		}
 		platform.SetUpstream(p.buffer[:], v.ID, v.Cookie)
 		vm.send(p.buffer[:platform.TagBytes+p.size], v.At)
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -125,7 +125,7 @@
 		vm.synced = true
 		vm.ready.Store(vm.leave.Ready())
 		vm.logReady()
-		vm.engine.Fresh(true)
+		vm.engine.SetFresh(true)
 		vm.forwardEarly()
 	}
 }
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -255,8 +255,8 @@
 func (l *lab) pull(vm *labVM, p sparnode.Pull) {
 	requester := vm.name
 	l.send(requester, p.From.Name, 0, func(peer *labVM) {
-		share := peer.node.Registry().Delta(p.After)
-		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(share) })
+		delta := peer.node.Registry().Delta(p.After)
+		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(delta) })
 	})
 }
 
