--- a/internal/member/sparsync/fleet_test.go
+++ b/internal/member/sparsync/fleet_test.go
@@ -154,9 +154,9 @@
 		t.Fatal("reads the platform before a seed has had time to reply")
 	}
 	now += 5 * time.Millisecond
-	old := sparsync.Notice{From: seed, Reader: seed.Name, Round: 3, Revision: 7, Digest: 42, Age: bound}
-	for _, out := range s.Heard(old, now) {
-		if _, ok := out.(sparsync.Ask); ok {
+	old := sparsync.Notification{From: seed, Reader: seed.Name, Round: 3, Revision: 7, Digest: 42, Age: bound}
+	for _, out := range s.Notified(old, now) {
+		if _, ok := out.(sparsync.Pull); ok {
 			t.Error("pulls old settings before it has tried to read the platform")
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 	pulled := false
 	for _, out := range s.ReadFailed(now) {
-		_, ok := out.(sparsync.Ask)
+		_, ok := out.(sparsync.Pull)
 		pulled = pulled || ok
 	}
 	if !pulled {
--- a/internal/member/sparsync/output.go
+++ b/internal/member/sparsync/output.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// Output is an action for the caller to perform. It is a sealed interface: Read, Peek,
-	// Ask, Enquire, Notify, Confirm, Enlist or Unlist.
+	// Output is an action for the caller to perform. It is a sealed interface: Read,
+	// ListVMs, Pull, SendQuery, Notify, Confirm, Register or Deregister.
 	Output interface {
 		output()
 	}
@@ -19,19 +19,19 @@
 		After uint64
 	}
 
-	// Peek requests the list of VMs registered at the platform. Its result goes to Peeked
-	// or PeekFailed.
-	Peek struct{}
+	// ListVMs requests the list of VMs registered at the platform. Its result goes to
+	// VMsListed or ListVMsFailed.
+	ListVMs struct{}
 
-	// Ask requests a pull of settings from a peer. Its result goes to Pulled, PullBusy or
-	// PullFailed.
-	Ask struct {
+	// Pull requests a pull of settings from a peer. Its result goes to Pulled, PullRefused
+	// or PullFailed.
+	Pull struct {
 		From  sparconfig.VM
 		After uint64 // revision after which changes are pulled, 0 for a full copy
 	}
 
-	// Enquire sends a query to a peer.
-	Enquire struct {
+	// SendQuery sends a query to a peer.
+	SendQuery struct {
 		To    sparconfig.VM
 		Query Query
 	}
@@ -47,8 +47,8 @@
 
 	// Notify sends a notification to a peer.
 	Notify struct {
-		To     sparconfig.VM
-		Notice Notice
+		To           sparconfig.VM
+		Notification Notification
 	}
 
 	// Confirm acknowledges a notification of a peer, or tells a peer that sent a query to
@@ -57,20 +57,20 @@
 		To sparconfig.VM
 	}
 
-	// Enlist requests that VMs which have started recently are registered at the platform.
-	Enlist struct {
+	// Register requests that VMs which have started recently are registered at the platform.
+	Register struct {
 		VMs []sparconfig.VM
 	}
 
-	// Unlist requests that the entry of a VM which has been silent for long is removed
+	// Deregister requests that the entry of a VM which has been silent for long is removed
 	// from the platform. A VM that still runs registers itself again.
-	Unlist struct {
+	Deregister struct {
 		Name string
 	}
 
-	// Notice is a notification that the settings of a VM at Revision were complete Age
+	// Notification says that the settings of a VM at Revision were complete Age
 	// ago. From is the VM to pull them from.
-	Notice struct {
+	Notification struct {
 		From     sparconfig.VM
 		Reader   string // the VM that read the platform
 		Round    uint64 // counts the reads of Reader
@@ -80,11 +80,11 @@
 	}
 )
 
-func (Read) output()    {}
-func (Peek) output()    {}
-func (Ask) output()     {}
-func (Enquire) output() {}
-func (Notify) output()  {}
-func (Confirm) output() {}
-func (Enlist) output()  {}
-func (Unlist) output()  {}
+func (Read) output()       {}
+func (ListVMs) output()    {}
+func (Pull) output()       {}
+func (SendQuery) output()  {}
+func (Notify) output()     {}
+func (Confirm) output()    {}
+func (Register) output()   {}
+func (Deregister) output() {}
--- a/internal/member/sparsync/peer.go
+++ b/internal/member/sparsync/peer.go
@@ -24,8 +24,8 @@
 	lastSeen        time.Duration
 	registered      bool          // at the platform; otherwise only its messages were received
 	unanswered      int           // notifications sent since lastSeen
-	unansweredSince time.Duration // first unanswered notification, or last Unlist of the peer
-	requestedAt     time.Duration // last Enlist of the peer
+	unansweredSince time.Duration // first unanswered notification, or last Deregister of the peer
+	requestedAt     time.Duration // last Register of the peer
 }
 
 // alive reports whether the peer counts as reachable.
--- a/internal/member/sparsync/pull.go
+++ b/internal/member/sparsync/pull.go
@@ -26,7 +26,7 @@
 	freshAt time.Duration
 }
 
-// Pulled is called when an Ask has succeeded and the registry has merged the reply. The
+// Pulled is called when a Pull has succeeded and the registry has merged the reply. The
 // settings of the peer were complete at freshAt. complete reports whether the registry now
 // holds at least what the peer holds; if the changes did not suffice for that, a full copy
 // is pulled.
@@ -34,16 +34,16 @@
 	s.markAlive(from, now)
 	s.pulling = false
 	if !complete {
-		return []Output{s.startPull(Ask{From: from}, now)}
+		return []Output{s.startPull(Pull{From: from}, now)}
 	}
 	s.target = target{}
 	s.markFresh(freshAt, readRound{reader: reader})
 	return slices.Concat(s.pullDeferred(now), s.forward(now), s.notifyWaiting(now))
 }
 
-// PullBusy is called when a peer refuses an Ask because it is overloaded. referral, if it
+// PullRefused is called when a peer refuses a Pull because it is overloaded. referral, if it
 // has a name, is another peer that holds the same settings.
-func (s *Sync) PullBusy(from, referral sparconfig.VM, now time.Duration) []Output {
+func (s *Sync) PullRefused(from, referral sparconfig.VM, now time.Duration) []Output {
 	s.markAlive(from, now)
 	s.start.lastReply = now
 	s.pulling = false
@@ -57,7 +57,7 @@
 	return s.pullDeferred(now)
 }
 
-// PullFailed is called when an Ask has failed.
+// PullFailed is called when a Pull has failed.
 func (s *Sync) PullFailed(now time.Duration) []Output {
 	s.pulling = false
 	return s.pullDeferred(now)
@@ -66,7 +66,7 @@
 // pull starts a pull of the settings that a peer announces, or defers it. Only one pull is
 // under way at a time, and none while the first read of the platform is likely to bring
 // everything.
-func (s *Sync) pull(n Notice, now time.Duration) []Output {
+func (s *Sync) pull(n Notification, now time.Duration) []Output {
 	if s.pullPending(now) || now < s.nextPull || !s.Synced() && s.preferRead(n, now) {
 		n.Age -= now // age at time 0; pullDeferred converts it back
 		s.deferred = n
@@ -81,11 +81,11 @@
 	}
 	s.current = n
 	s.current.Age -= now
-	return []Output{s.startPull(Ask{From: n.From, After: after}, now)}
+	return []Output{s.startPull(Pull{From: n.From, After: after}, now)}
 }
 
 // startPull records that a pull is under way, with its deadline.
-func (s *Sync) startPull(a Ask, now time.Duration) Output {
+func (s *Sync) startPull(a Pull, now time.Duration) Output {
 	s.pulling, s.pullDeadline = true, now+deltaTimeout
 	if a.After == 0 {
 		s.pullDeadline = now + fullTimeout
@@ -99,7 +99,7 @@
 // preferRead reports whether a VM without settings does not pull those of a notification:
 // its own read of the platform is about to end, or the settings are old and it has not yet
 // tried to read.
-func (s *Sync) preferRead(n Notice, now time.Duration) bool {
+func (s *Sync) preferRead(n Notification, now time.Duration) bool {
 	if s.reading {
 		return now-s.readBegan < firstReadTimeout
 	}
@@ -113,7 +113,7 @@
 	if n.Reader == "" || now < s.nextPull {
 		return nil
 	}
-	s.deferred = Notice{}
+	s.deferred = Notification{}
 	if n.Digest == s.held.Digest || s.Synced() && n.Revision < s.held.Revision {
 		return nil
 	}
--- a/internal/member/sparsync/reader.go
+++ b/internal/member/sparsync/reader.go
@@ -19,7 +19,7 @@
 	}
 	if s.listingDue(now) {
 		s.start.listing.at = now
-		outs = append(outs, Peek{})
+		outs = append(outs, ListVMs{})
 	}
 	if !s.pullPending(now) {
 		outs = append(outs, s.pullDeferred(now)...)
@@ -59,7 +59,7 @@
 	}
 	s.reading = false
 	s.held = held
-	s.target, s.deferred = target{}, Notice{}
+	s.target, s.deferred = target{}, Notification{}
 	if s.failing {
 		s.failing, s.recoveredAt = false, now
 	}
@@ -74,9 +74,9 @@
 	return append(s.forward(now), s.notifyWaiting(now)...)
 }
 
-// ReadBroken is called when an incremental read lacks some changes, so that it says nothing
+// ReadIncomplete is called when an incremental read lacks some changes, so that it says nothing
 // about freshness. A full read takes its place and begins at now.
-func (s *Sync) ReadBroken(now time.Duration) []Output {
+func (s *Sync) ReadIncomplete(now time.Duration) []Output {
 	s.readBegan = now
 	return []Output{Read{}}
 }
@@ -91,7 +91,7 @@
 
 // yieldTo stops this VM from reading if the reader of a notification has higher precedence,
 // or if the reads of this VM fail.
-func (s *Sync) yieldTo(n Notice) {
+func (s *Sync) yieldTo(n Notification) {
 	if !chart.Has(s.state, tellsMark) || n.Reader == s.self.Name || n.Age >= s.share(queryShare) {
 		return
 	}
@@ -103,12 +103,12 @@
 // notifyOutranked notifies a reader that another reader has higher precedence. The two
 // may never receive each other's notifications, since VMs forward only those that are
 // fresher than their own settings.
-func (s *Sync) notifyOutranked(n Notice, now time.Duration) []Output {
+func (s *Sync) notifyOutranked(n Notification, now time.Duration) []Output {
 	if n.From.Name != n.Reader || n.Reader == s.source.reader || s.Age(now) >= s.share(queryShare) ||
 		!s.precedes(s.source.reader, n.Reader) {
 		return nil
 	}
-	return []Output{Notify{To: n.From, Notice: s.notification(now)}}
+	return []Output{Notify{To: n.From, Notification: s.notification(now)}}
 }
 
 // precedes reports whether VM a has higher precedence than VM b.
--- a/internal/member/sparsync/reader_test.go
+++ b/internal/member/sparsync/reader_test.go
@@ -45,7 +45,7 @@
 	s.Tick(1)
 	now := 10 * time.Millisecond
 	s.ReadDone(1, sparsync.Held{Revision: 7, Digest: 42}, largeSettings, now)
-	s.Holds(sparsync.Held{Revision: 7, Digest: 42})
+	s.SetHeld(sparsync.Held{Revision: 7, Digest: 42})
 	next := func() sparsync.Read {
 		for range 1000 {
 			now += 50 * time.Millisecond
@@ -87,24 +87,24 @@
 	after := func(outs []sparsync.Output) uint64 {
 		t.Helper()
 		for _, out := range outs {
-			if ask, ok := out.(sparsync.Ask); ok {
-				return ask.After
+			if pull, ok := out.(sparsync.Pull); ok {
+				return pull.After
 			}
 		}
 		t.Fatalf("no pull among %v", outs)
 		return 0
 	}
-	outs := s.Heard(sparsync.Notice{From: peer, Reader: "vm-2", Round: 1, Revision: 9, Digest: 43}, now)
+	outs := s.Notified(sparsync.Notification{From: peer, Reader: "vm-2", Round: 1, Revision: 9, Digest: 43}, now)
 	if got := after(outs); got != 7 {
 		t.Errorf("pulls changes after %d, want 7", got)
 	}
-	s.Holds(sparsync.Held{Revision: 7, Digest: 41})
+	s.SetHeld(sparsync.Held{Revision: 7, Digest: 41})
 	if got := after(s.Pulled(peer, "vm-2", now, false, now)); got != 0 {
 		t.Errorf("then pulls changes after %d, want a full copy", got)
 	}
-	s.Holds(sparsync.Held{Revision: 9, Digest: 43})
+	s.SetHeld(sparsync.Held{Revision: 9, Digest: 43})
 	for _, out := range s.Pulled(peer, "vm-2", now, true, now) {
-		if _, ok := out.(sparsync.Ask); ok {
+		if _, ok := out.(sparsync.Pull); ok {
 			t.Error("pulls again after a full copy")
 		}
 	}
@@ -153,9 +153,9 @@
 	now := time.Millisecond
 	s.Tick(now)
 	pulls := func() (n int) {
-		outs := s.Heard(sparsync.Notice{From: peer, Reader: "vm-2", Round: 1, Revision: 9, Digest: 43}, now)
+		outs := s.Notified(sparsync.Notification{From: peer, Reader: "vm-2", Round: 1, Revision: 9, Digest: 43}, now)
 		for _, out := range append(outs, s.Tick(now)...) {
-			if _, ok := out.(sparsync.Ask); ok {
+			if _, ok := out.(sparsync.Pull); ok {
 				n++
 			}
 		}
--- a/internal/member/sparsync/register.go
+++ b/internal/member/sparsync/register.go
@@ -39,5 +39,5 @@
 		return nil
 	}
 	slices.SortFunc(vms, func(a, b sparconfig.VM) int { return cmp.Compare(a.Name, b.Name) })
-	return []Output{Enlist{VMs: vms}}
+	return []Output{Register{VMs: vms}}
 }
--- a/internal/member/sparsync/register_test.go
+++ b/internal/member/sparsync/register_test.go
@@ -29,12 +29,12 @@
 		s.List([]sparconfig.VM{{Name: "vm-7", Data: "10.1.0.1:1", Control: "10.1.0.7:2"}}, now)
 		for i := range 300 {
 			vm := sparconfig.VM{Name: fmt.Sprintf("vm-%d", i), Data: "10.1.0.1:1", Control: fmt.Sprintf("10.1.%d.%d:2", i/250, i%250+1)}
-			s.Asked(sparsync.Query{From: vm}, now)
+			s.Queried(sparsync.Query{From: vm}, now)
 		}
 		for range 60 {
 			now += 50 * time.Millisecond
 			for _, out := range s.Tick(now) {
-				if e, ok := out.(sparsync.Enlist); ok {
+				if e, ok := out.(sparsync.Register); ok {
 					writes++
 					for _, vm := range e.VMs {
 						registered[vm.Name]++
--- a/internal/member/sparsync/serve.go
+++ b/internal/member/sparsync/serve.go
@@ -106,5 +106,5 @@
 			return []Output{Confirm{To: to}}
 		}
 	}
-	return []Output{Notify{To: to, Notice: n}}
+	return []Output{Notify{To: to, Notification: n}}
 }
--- a/internal/member/sparsync/sim_test.go
+++ b/internal/member/sparsync/sim_test.go
@@ -197,15 +197,15 @@
 		switch out := out.(type) {
 		case sparsync.Read:
 			m.read(out.After)
-		case sparsync.Peek:
+		case sparsync.ListVMs:
 			m.readVMs()
-		case sparsync.Ask:
+		case sparsync.Pull:
 			m.pull(out)
-		case sparsync.Enquire:
-			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Asked(out.Query, s.now) })
+		case sparsync.SendQuery:
+			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Queried(out.Query, s.now) })
 		case sparsync.Notify:
-			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Heard(out.Notice, s.now) })
-		case sparsync.Unlist:
+			m.send(out.To, func(to *member) []sparsync.Output { return to.sync.Notified(out.Notification, s.now) })
+		case sparsync.Deregister:
 			s.deregistered[out.Name]++
 		case sparsync.Confirm:
 			m.send(out.To, func(to *member) []sparsync.Output {
@@ -231,10 +231,10 @@
 	s := m.sim
 	s.calls++
 	if m.silent || m.refused {
-		s.schedule(m, callTime, func() { m.perform(m.sync.PeekFailed(s.now)) })
+		s.schedule(m, callTime, func() { m.perform(m.sync.ListVMsFailed(s.now)) })
 		return
 	}
-	s.schedule(m, callTime, func() { m.perform(m.sync.Peeked(s.vmList(), s.now)) })
+	s.schedule(m, callTime, func() { m.perform(m.sync.VMsListed(s.vmList(), s.now)) })
 }
 
 // read reads the platform: fully if after is 0, otherwise the changes after that revision.
@@ -259,7 +259,7 @@
 				s.calls++
 			}
 			if after > 0 && after < s.revision && s.withholding {
-				m.perform(m.sync.ReadBroken(s.now))
+				m.perform(m.sync.ReadIncomplete(s.now))
 				return
 			}
 			size := 0
@@ -290,10 +290,10 @@
 	return time.Duration(bytes) * time.Second / time.Duration(rate)
 }
 
-func (m *member) pull(ask sparsync.Ask) {
+func (m *member) pull(pull sparsync.Pull) {
 	s := m.sim
-	from := s.find(ask.From)
-	if ask.After == 0 {
+	from := s.find(pull.From)
+	if pull.After == 0 {
 		s.fullPulls++
 	}
 	if !s.reachable(m, from) {
@@ -305,26 +305,26 @@
 		if !from.sync.Synced() {
 			return
 		}
-		referral, ok := from.sync.Serve(m.vm, ask.After)
+		referral, ok := from.sync.Serve(m.vm, pull.After)
 		if !ok {
-			s.schedule(m, oneWay, func() { m.perform(m.sync.PullBusy(from.vm, referral, s.now)) })
+			s.schedule(m, oneWay, func() { m.perform(m.sync.PullRefused(from.vm, referral, s.now)) })
 			return
 		}
-		from.serve(m, ask, began)
+		from.serve(m, pull, began)
 	})
 }
 
 // serve sends the settings of m to a peer.
-func (m *member) serve(to *member, ask sparsync.Ask, began time.Duration) {
+func (m *member) serve(to *member, pull sparsync.Pull, began time.Duration) {
 	s := m.sim
-	if ask.After == 0 {
+	if pull.After == 0 {
 		m.serving++
 		s.busiest = max(s.busiest, m.serving)
 	}
 	took := time.Duration(0)
 	if s.slowLinks {
 		size := changeSize
-		if ask.After == 0 {
+		if pull.After == 0 {
 			size = s.size / compression
 		}
 		m.linkFree = max(m.linkFree, s.now) + transferTime(linkRate, size)
@@ -333,10 +333,10 @@
 	held, age, reader := m.held, m.sync.Age(s.now), m.sync.Reader()
 	timedOut := s.now+took-began > pullTimeout
 	s.schedule(m, min(took, pullTimeout), func() {
-		if ask.After == 0 {
+		if pull.After == 0 {
 			m.serving--
 		}
-		m.sync.Served(to.vm, ask.After, held, !timedOut)
+		m.sync.Served(to.vm, pull.After, held, !timedOut)
 	})
 	if timedOut {
 		s.schedule(to, pullTimeout, func() { to.perform(to.sync.PullFailed(s.now)) })
@@ -355,7 +355,7 @@
 	if m.readyAt == 0 {
 		m.readyAt = m.sim.now
 	}
-	m.sync.Holds(m.heldSettings())
+	m.sync.SetHeld(m.heldSettings())
 	if m.listVersion == 1+len(m.sim.deregistered) {
 		return // m has this list
 	}
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -116,9 +116,9 @@
 		s.start.listing.at == 0 && now-s.start.began >= seedTimeout
 }
 
-// Peeked is called when a Peek has succeeded with the VMs registered at the platform. It
+// VMsListed is called when a ListVMs has succeeded with the VMs registered at the platform. It
 // queries one of those that read first.
-func (s *Sync) Peeked(vms []sparconfig.VM, now time.Duration) []Output {
+func (s *Sync) VMsListed(vms []sparconfig.VM, now time.Duration) []Output {
 	same := func(vm sparconfig.VM) bool { return vm.Name == s.self.Name }
 	s.start.listing = listing{done: true, registered: slices.ContainsFunc(vms, same), at: now}
 	if s.Synced() {
@@ -133,9 +133,9 @@
 	return []Output{s.query(first.vm, now)}
 }
 
-// PeekFailed is called when a Peek has failed. The platform is then retried as after a
+// ListVMsFailed is called when a ListVMs has failed. The platform is then retried as after a
 // failed read.
-func (s *Sync) PeekFailed(now time.Duration) []Output {
+func (s *Sync) ListVMsFailed(now time.Duration) []Output {
 	s.start.listing.done = true
 	return s.ReadFailed(now)
 }
@@ -175,7 +175,7 @@
 	}
 	var outs []Output
 	for _, vm := range s.start.waiting {
-		outs = append(outs, Notify{To: vm, Notice: s.notification(now)})
+		outs = append(outs, Notify{To: vm, Notification: s.notification(now)})
 	}
 	s.start.waiting = nil
 	return outs
--- a/internal/member/sparsync/sync.go
+++ b/internal/member/sparsync/sync.go
@@ -15,7 +15,7 @@
 //		case sparsync.Read:
 //			// read the platform, then call s.ReadDone
 //		case sparsync.Notify:
-//			// send out.Notice to out.To
+//			// send out.Notification to out.To
 //		}
 //	}
 package sparsync
@@ -88,8 +88,8 @@
 		recoveredAt  time.Duration            // when the platform answered again after a failure
 		outages      map[string]time.Duration // when the platform failed to answer a VM
 		target       target
-		current      Notice        // notification that the pull under way follows; its age is relative to time 0
-		deferred     Notice        // notification to follow once no pull is under way; its age as in current
+		current      Notification  // notification that the pull under way follows; its age is relative to time 0
+		deferred     Notification  // notification to follow once no pull is under way; its age as in current
 		nextPull     time.Duration // no pull before
 		pulling      bool
 		pullDeadline time.Duration // of the pull under way
@@ -143,8 +143,8 @@
 	return s.recoveredAt > 0 && now-s.recoveredAt < settleTime
 }
 
-// Holds sets what the registry holds now.
-func (s *Sync) Holds(held Held) {
+// SetHeld sets what the registry holds now.
+func (s *Sync) SetHeld(held Held) {
 	s.held = held
 	if s.target.reader != "" && held.Digest == s.target.digest {
 		s.markFresh(s.target.freshAt, s.target.readRound)
@@ -152,8 +152,8 @@
 	}
 }
 
-// Heard is called for a notification received from a peer.
-func (s *Sync) Heard(n Notice, now time.Duration) []Output {
+// Notified is called for a notification received from a peer.
+func (s *Sync) Notified(n Notification, now time.Duration) []Output {
 	s.markAlive(n.From, now)
 	s.start.lastReply = now
 	s.start.peerStale = s.start.peerStale || n.Age >= s.share(takeoverShare)
@@ -168,9 +168,9 @@
 	return append(outs, s.forward(now)...)
 }
 
-// Asked is called for a query received from a peer. A VM that has no settings yet queries
+// Queried is called for a query received from a peer. A VM that has no settings yet queries
 // the peer in turn if that one has settings.
-func (s *Sync) Asked(q Query, now time.Duration) []Output {
+func (s *Sync) Queried(q Query, now time.Duration) []Output {
 	s.markAlive(q.From, now)
 	s.mergeOutages(q.Outages, now)
 	switch {
@@ -181,13 +181,13 @@
 	case !q.Synced:
 		return s.refer(q.From, now)
 	case s.Age(now) < q.Age:
-		return []Output{Notify{To: q.From, Notice: s.notification(now)}}
+		return []Output{Notify{To: q.From, Notification: s.notification(now)}}
 	}
 	return nil
 }
 
 func (s *Sync) query(to sparconfig.VM, now time.Duration) Output {
-	return Enquire{To: to, Query: Query{From: s.self, Synced: s.Synced(), Age: s.Age(now), Outages: s.recentOutages(now)}}
+	return SendQuery{To: to, Query: Query{From: s.self, Synced: s.Synced(), Age: s.Age(now), Outages: s.recentOutages(now)}}
 }
 
 // Confirmed is called for a Confirm received from a peer: a notification has arrived there,
--- a/internal/member/sparsync/tree.go
+++ b/internal/member/sparsync/tree.go
@@ -36,10 +36,10 @@
 		if p.unanswered == 1 {
 			p.unansweredSince = now
 		}
-		outs = append(outs, Notify{To: p.vm, Notice: notification})
+		outs = append(outs, Notify{To: p.vm, Notification: notification})
 		if p.unanswered >= maxUnanswered && now-p.unansweredSince >= deregisterAfter && s.connected(now) {
 			p.unansweredSince = now // try again after deregisterAfter if the removal fails
-			outs = append(outs, Unlist{Name: name})
+			outs = append(outs, Deregister{Name: name})
 		}
 	}
 	return outs
@@ -57,8 +57,8 @@
 }
 
 // notification returns the revision and age of the settings of this VM.
-func (s *Sync) notification(now time.Duration) Notice {
-	return Notice{
+func (s *Sync) notification(now time.Duration) Notification {
+	return Notification{
 		From: s.self, Reader: s.source.reader, Round: s.source.round,
 		Revision: s.held.Revision, Digest: s.held.Digest, Age: s.Age(now),
 	}
--- a/internal/peer/sparcontrol/codec_test.go
+++ b/internal/peer/sparcontrol/codec_test.go
@@ -15,7 +15,7 @@
 // TestDatagrams encodes and decodes the messages between VMs of the cookie carrier.
 func TestDatagrams(t *testing.T) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2", State: sparconfig.Live}
-	notice := sparsync.Notice{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: 6 * time.Millisecond}
+	notice := sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: 6 * time.Millisecond}
 	query := sparsync.Query{From: vm, Synced: true, Age: 7 * time.Millisecond}
 	departure := sparleave.Departure{From: "vm-1", Refusing: true}
 	tests := []struct {
@@ -44,7 +44,7 @@
 		"departure": sparcontrol.EncodeDeparture(sparleave.Departure{Refusing: true}),
 		"receipt":   sparcontrol.EncodeReceipt(sparconfig.VM{}),
 		"query":     sparcontrol.EncodeQuery(sparsync.Query{}),
-		"notice":    sparcontrol.EncodeNotice(sparsync.Notice{}),
+		"notice":    sparcontrol.EncodeNotice(sparsync.Notification{}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := sparcontrol.Decode(bytes); err == nil {
@@ -83,7 +83,7 @@
 func TestAgesOutOfRange(t *testing.T) {
 	from := sparconfig.VM{Name: "vm-1", Domain: "a", Data: "10.0.0.1:1", Control: "10.0.0.1:2"}
 	for name, bytes := range map[string][]byte{
-		"notice": sparcontrol.EncodeNotice(sparsync.Notice{From: from, Reader: "vm-1", Round: 1, Age: -time.Hour}),
+		"notice": sparcontrol.EncodeNotice(sparsync.Notification{From: from, Reader: "vm-1", Round: 1, Age: -time.Hour}),
 		"query":  sparcontrol.EncodeQuery(sparsync.Query{From: from, Synced: true, Age: -time.Hour}),
 		"outage": sparcontrol.EncodeQuery(sparsync.Query{From: from, Outages: []sparsync.Outage{{VM: "vm-1", Age: -time.Hour}}}),
 	} {
--- a/internal/peer/sparcontrol/fuzz_test.go
+++ b/internal/peer/sparcontrol/fuzz_test.go
@@ -15,7 +15,7 @@
 // name and no negative age, which would be a time in the future.
 func FuzzDecode(f *testing.F) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2"}
-	f.Add(sparcontrol.EncodeNotice(sparsync.Notice{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
+	f.Add(sparcontrol.EncodeNotice(sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
 	f.Add(sparcontrol.EncodeQuery(sparsync.Query{From: vm, Synced: true, Age: time.Second, Outages: []sparsync.Outage{{VM: "vm-3", Age: time.Second}}}))
 	f.Add(sparcontrol.EncodeReceipt(vm))
 	f.Add(sparcontrol.EncodeDeparture(sparleave.Departure{From: "vm-1", Refusing: true}))
--- a/internal/peer/sparcontrol/notice.go
+++ b/internal/peer/sparcontrol/notice.go
@@ -16,7 +16,7 @@
 type (
 	// Told is a peer's notification about its settings.
 	Told struct {
-		Notice sparsync.Notice
+		Notice sparsync.Notification
 	}
 
 	// Received is a peer's receipt for a notification.
@@ -36,7 +36,7 @@
 )
 
 // EncodeNotice encodes a notification as a datagram.
-func EncodeNotice(n sparsync.Notice) []byte {
+func EncodeNotice(n sparsync.Notification) []byte {
 	return marshal(&Datagram{Body: &Datagram_Notice{Notice: &Notice{
 		From: FromVM(n.From), Reader: n.Reader, Round: n.Round,
 		Revision: n.Revision, Digest: n.Digest, Age: uint64(n.Age.Microseconds()),
@@ -60,7 +60,7 @@
 		return Told{}, errors.New("notice without a reader")
 	}
 	age, err := ToAge(n.Age)
-	return Told{Notice: sparsync.Notice{
+	return Told{Notice: sparsync.Notification{
 		From: vm, Reader: n.Reader, Round: n.Round, Revision: n.Revision, Digest: n.Digest, Age: age,
 	}}, err
 }
--- a/internal/vm/sparentry/read.go
+++ b/internal/vm/sparentry/read.go
@@ -94,7 +94,7 @@
 func (vm *VM) readDone(in read, now time.Duration) {
 	vm.logRead(in.err)
 	if in.err != nil && in.vms {
-		vm.perform(vm.sync.PeekFailed(now), now)
+		vm.perform(vm.sync.ListVMsFailed(now), now)
 		return
 	}
 	if in.err != nil {
@@ -105,7 +105,7 @@
 	switch f := in.result.(type) {
 	case listedVMs:
 		vm.logListedVMs(len(f))
-		vm.perform(vm.sync.Peeked(f, now), now)
+		vm.perform(vm.sync.VMsListed(f, now), now)
 		return
 	case fullRead:
 		size = f.Bytes
@@ -114,7 +114,7 @@
 		next, ok := vm.registry.WithChanges(f.Entries, f.Revisions, in.after, f.reached)
 		if !ok {
 			vm.logIncompleteChanges(in.after, f)
-			vm.perform(vm.sync.ReadBroken(now), now)
+			vm.perform(vm.sync.ReadIncomplete(now), now)
 			return
 		}
 		vm.adopt(next, "platform")
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -36,7 +36,7 @@
 
 	// pull is a request to a peer for its settings.
 	pull struct {
-		req   sparsync.Ask
+		req   sparsync.Pull
 		began time.Duration
 	}
 )
@@ -71,9 +71,9 @@
 func (vm *VM) receive(datagram sparcontrol.Input, now time.Duration) {
 	switch d := datagram.(type) {
 	case sparcontrol.Told:
-		vm.perform(vm.sync.Heard(d.Notice, now), now)
+		vm.perform(vm.sync.Notified(d.Notice, now), now)
 	case sparcontrol.Asked:
-		vm.perform(vm.sync.Asked(d.Query, now), now)
+		vm.perform(vm.sync.Queried(d.Query, now), now)
 	case sparcontrol.Departed:
 		vm.leave.Heard(d.Departure, now)
 	case sparcontrol.Received:
@@ -94,7 +94,7 @@
 	switch {
 	case r.Busy:
 		vm.logPeerBusy(in.pull, r.Elsewhere.ToVM())
-		vm.perform(vm.sync.PullBusy(from, r.Elsewhere.ToVM(), now), now)
+		vm.perform(vm.sync.PullRefused(from, r.Elsewhere.ToVM(), now), now)
 	case !r.Synced:
 		vm.perform(vm.sync.PullFailed(now), now)
 	default:
@@ -112,7 +112,7 @@
 func (vm *VM) adopt(next sparregistry.Registry, source string) {
 	changed := next.Digest() != vm.registry.Digest() || !vm.synced
 	vm.registry = next
-	vm.sync.Holds(vm.held())
+	vm.sync.SetHeld(vm.held())
 	if !changed {
 		return
 	}
@@ -136,17 +136,17 @@
 		switch out := out.(type) {
 		case sparsync.Read:
 			vm.reads.Put(readRequest{began: now, after: out.After})
-		case sparsync.Peek:
+		case sparsync.ListVMs:
 			vm.reads.Put(readRequest{began: now, vms: true})
-		case sparsync.Ask:
+		case sparsync.Pull:
 			vm.pulls.Put(pull{req: out, began: now}) // one at a time, see sparsync
-		case sparsync.Enquire:
+		case sparsync.SendQuery:
 			vm.sendControl(out.To, sparcontrol.EncodeQuery(out.Query))
 		case sparsync.Notify:
-			vm.sendControl(out.To, sparcontrol.EncodeNotice(out.Notice))
-		case sparsync.Enlist:
+			vm.sendControl(out.To, sparcontrol.EncodeNotice(out.Notification))
+		case sparsync.Register:
 			vm.registerOthers(out.VMs)
-		case sparsync.Unlist:
+		case sparsync.Deregister:
 			vm.unregister(out.Name)
 		case sparsync.Confirm:
 			vm.sendControl(out.To, sparcontrol.EncodeReceipt(vm.file.VM()))
