--- a/internal/member/sparleave/leave.go
+++ b/internal/member/sparleave/leave.go
@@ -8,13 +8,13 @@
 // not told to stop:
 //
 //	var l sparleave.Leave
-//	l.Begin(self, now, grace)                // SIGTERM
+//	l.Begin(self, now, grace) // SIGTERM
 //	for _, out := range l.Tick(siblings, now) {
 //		// send out, a Departure, to the other VMs of the failure domain
 //	}
-//	ready := l.Ready()                       // the response to probes
-//	l.Refused(now)                           // for each probe that was refused
-//	l.Packet(now)                            // for each packet of a client
+//	ready := l.Ready()        // the response to probes
+//	l.ProbeRefused(now)       // for each probe that was refused
+//	l.PacketReceived(now)     // for each packet of a client
 //	if l.Done(now) {
 //		// out of rotation, the process may end
 //	}
@@ -103,8 +103,8 @@
 // Waited returns how long the VM waited for others before it began to refuse probes.
 func (l *Leave) Waited() time.Duration { return l.refusedAt - l.began }
 
-// Heard is called for a Departure received from another VM of the failure domain.
-func (l *Leave) Heard(d Departure, now time.Duration) {
+// Received is called for a Departure received from another VM of the failure domain.
+func (l *Leave) Received(d Departure, now time.Duration) {
 	if l.peers == nil {
 		l.peers = map[string]announcement{}
 	}
@@ -159,9 +159,9 @@
 	return max(min(maxWait, l.grace-refuseTimeout-exitMargin), 0)
 }
 
-// Refused is called when a probe was refused. It ignores those refused before the shutdown,
-// while the VM was starting.
-func (l *Leave) Refused(now time.Duration) {
+// ProbeRefused is called when a probe was refused. It ignores those refused before the
+// shutdown, while the VM was starting.
+func (l *Leave) ProbeRefused(now time.Duration) {
 	if !l.refusing {
 		return
 	}
@@ -174,8 +174,8 @@
 	}
 }
 
-// Packet is called when a packet from the fabric arrives.
-func (l *Leave) Packet(now time.Duration) { l.lastPacket = now }
+// PacketReceived is called when a packet from the fabric arrives.
+func (l *Leave) PacketReceived(now time.Duration) { l.lastPacket = now }
 
 // Done reports whether the process may end.
 func (l *Leave) Done(now time.Duration) bool {
--- a/internal/member/sparleave/leave_test.go
+++ b/internal/member/sparleave/leave_test.go
@@ -27,8 +27,8 @@
 	l.Begin("vm-1", 1000*ms, grace)
 	l.Tick(1, 1000*ms)
 	fmt.Println(l.Ready())
-	l.Refused(1300 * ms)
-	l.Refused(1800 * ms)
+	l.ProbeRefused(1300 * ms)
+	l.ProbeRefused(1800 * ms)
 	fmt.Println(l.Done(1900*ms), l.Done(1960*ms))
 	// Output:
 	// false
@@ -47,12 +47,12 @@
 		}
 		for _, at := range probes {
 			if at == now {
-				l.Refused(now)
+				l.ProbeRefused(now)
 			}
 		}
 		for _, at := range packets {
 			if at == now {
-				l.Packet(now)
+				l.PacketReceived(now)
 			}
 		}
 	}
@@ -93,8 +93,8 @@
 
 func TestStaysUntilTold(t *testing.T) {
 	var l sparleave.Leave
-	l.Refused(0)
-	l.Refused(500 * ms)
+	l.ProbeRefused(0)
+	l.ProbeRefused(500 * ms)
 	if l.Done(time.Hour) || l.Begun() || !l.Ready() {
 		t.Error("a VM ends that was not told to stop")
 	}
@@ -135,7 +135,7 @@
 			for _, d := range vm.leave.Tick(len(vms), now) {
 				for j, other := range vms {
 					if j != i && !lossy && other.exitedAt == 0 {
-						other.leave.Heard(d, now)
+						other.leave.Received(d, now)
 					}
 				}
 			}
@@ -144,7 +144,7 @@
 					vm.refusedProbes = 0
 				} else {
 					vm.refusedProbes++
-					vm.leave.Refused(now)
+					vm.leave.ProbeRefused(now)
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 				lost += step
 			}
 			if sent && vm.exitedAt == 0 && vm.leave.Begun() {
-				vm.leave.Packet(now)
+				vm.leave.PacketReceived(now)
 			}
 			if vm.exitedAt == 0 && vm.leave.Done(now) {
 				vm.exitedAt = now
--- a/internal/member/sparmember/member.go
+++ b/internal/member/sparmember/member.go
@@ -4,7 +4,7 @@
 // received, the VMs registered at the platform and the time, and sends its heartbeats.
 //
 //	t := sparmember.NewTracker(self, incarnation, now)
-//	t.Heard(heartbeat, now)
+//	t.Received(heartbeat, now)
 //	view := t.View(now) // the VMs that may own slots, in name order
 //
 // The VMs registered at the platform receive heartbeats. Only a recent heartbeat makes
@@ -30,8 +30,8 @@
 	Beat = 300 * time.Millisecond
 	// peerTimeout is the time without a heartbeat after which a peer is no longer a member.
 	peerTimeout = 4 * Beat
-	// Fresh is the longest pause of this process after which its view is still valid.
-	Fresh = 900 * time.Millisecond
+	// MaxPause is the longest pause of this process after which its view is still valid.
+	MaxPause = 900 * time.Millisecond
 	// listenTime is how long a starting VM listens for owners before it may own slots alone.
 	listenTime = 5 * Beat
 	// disagreementTimeout is how long disagreement about the view, or an incomplete view,
@@ -74,7 +74,7 @@
 		Revision    uint64   // of its settings
 		Digest      uint32   // of its settings, folded
 		View        uint32   // digest of its view, folded
-		Deaf        []string // targets without a heartbeat within peerTimeout, in name order
+		Unreachable []string // targets without a heartbeat within peerTimeout, in name order
 		Full        bool     // VM contains the addresses, not only the name
 	}
 
@@ -126,9 +126,9 @@
 	t.synced = true
 }
 
-// Heard is called for a heartbeat received. The first one of a peer is ignored unless it
+// Received is called for a heartbeat received. The first one of a peer is ignored unless it
 // contains the addresses of the peer.
-func (t *Tracker) Heard(h Heartbeat, now time.Duration) {
+func (t *Tracker) Received(h Heartbeat, now time.Duration) {
 	p := t.peers[h.VM.Name]
 	switch {
 	case h.VM.Name == t.self.Name:
@@ -150,10 +150,10 @@
 // State returns the state of this VM in the chart.
 func (t *Tracker) State() sparchart.State { return t.state }
 
-// Tick advances the time. If the process was paused for longer than Fresh, it returns the
+// Tick advances the time. If the process was paused for longer than MaxPause, it returns the
 // length of the pause and treats all peers as timed out, since their state is out of date.
 func (t *Tracker) Tick(now time.Duration) (pause time.Duration) {
-	if now-t.lastTick > Fresh {
+	if now-t.lastTick > MaxPause {
 		pause = now - t.lastTick
 		t.state = vmChart.Next(t.state, "frozen")
 		t.listenSince = now
@@ -232,8 +232,8 @@
 	return next
 }
 
-// Beats returns the heartbeat of this VM with the given settings.
-func (t *Tracker) Beats(revision, digest uint64, now time.Duration) Heartbeat {
+// Heartbeat returns the heartbeat of this VM with the given settings.
+func (t *Tracker) Heartbeat(revision, digest uint64, now time.Duration) Heartbeat {
 	h := Heartbeat{
 		VM: t.self, Incarnation: t.incarnation, Synced: t.synced,
 		Owns: vmChart.Has(t.state, owns), Leaving: t.state == "leaving",
@@ -241,7 +241,7 @@
 	}
 	for _, vm := range t.Targets() {
 		if p := t.peers[vm.Name]; p == nil || !t.live(p, now) {
-			h.Deaf = append(h.Deaf, vm.Name)
+			h.Unreachable = append(h.Unreachable, vm.Name)
 		}
 	}
 	return h
@@ -296,28 +296,28 @@
 	return p.last.VM, true
 }
 
-// Listed reports whether a VM is registered at the platform.
-func (t *Tracker) Listed(name string) bool {
+// Registered reports whether a VM is registered at the platform.
+func (t *Tracker) Registered(name string) bool {
 	_, ok := t.registered[name]
 	return ok
 }
 
-// ListedLive reports whether a VM is registered at the platform as live.
-func (t *Tracker) ListedLive(name string) bool {
+// RegisteredLive reports whether a VM is registered at the platform as live.
+func (t *Tracker) RegisteredLive(name string) bool {
 	return t.registered[name].State == sparconfig.Live
 }
 
-// Hears reports whether this VM receives the heartbeats of a peer.
-func (t *Tracker) Hears(name string, now time.Duration) bool {
+// ReceivesFrom reports whether this VM receives the heartbeats of a peer.
+func (t *Tracker) ReceivesFrom(name string, now time.Duration) bool {
 	p := t.peers[name]
 	return p != nil && t.live(p, now)
 }
 
-// Partial reports whether the view may be incomplete: a VM that is registered as live is
-// unreachable, or was within disagreementTimeout before now.
-func (t *Tracker) Partial(now time.Duration) bool {
+// ViewIncomplete reports whether the view may be incomplete: a VM that is registered as live
+// is unreachable, or was within disagreementTimeout before now.
+func (t *Tracker) ViewIncomplete(now time.Duration) bool {
 	for name, vm := range t.registered {
-		if name != t.self.Name && vm.State == sparconfig.Live && !t.Knows(name, now) {
+		if name != t.self.Name && vm.State == sparconfig.Live && !t.ReceivedBy(name, now) {
 			t.unreachableAt = now
 			break
 		}
@@ -325,14 +325,14 @@
 	return t.unreachableAt > 0 && now-t.unreachableAt < disagreementTimeout
 }
 
-// Knows reports whether a peer receives the heartbeats of this VM and so has its addresses.
-func (t *Tracker) Knows(name string, now time.Duration) bool {
-	return t.Hears(name, now) && t.receives(t.peers[name])
+// ReceivedBy reports whether a peer receives the heartbeats of this VM and so has its addresses.
+func (t *Tracker) ReceivedBy(name string, now time.Duration) bool {
+	return t.ReceivesFrom(name, now) && t.receives(t.peers[name])
 }
 
-// Watches reports whether this VM reads the platform for its failure domain: at most one synced
-// peer of the domain has a higher rendezvous weight.
-func (t *Tracker) Watches(now time.Duration) bool {
+// ReadsPlatform reports whether this VM reads the platform for its failure domain: at most
+// one synced peer of the domain has a higher rendezvous weight.
+func (t *Tracker) ReadsPlatform(now time.Duration) bool {
 	const readers = 2
 	slot := int(sparrank.Hash(t.self.Domain) % 1024)
 	weight := sparrank.Weight(slot, sparrank.Hash(t.self.Name))
@@ -356,7 +356,7 @@
 // receives reports whether the peer receives the heartbeats of this VM: it doesn't report
 // this VM as unreachable. A peer that didn't know this VM would not send heartbeats to it.
 func (t *Tracker) receives(p *peer) bool {
-	_, unreachable := slices.BinarySearch(p.last.Deaf, t.self.Name)
+	_, unreachable := slices.BinarySearch(p.last.Unreachable, t.self.Name)
 	return !unreachable
 }
 
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -116,8 +116,8 @@
 		s.start.listing.at == 0 && now-s.start.began >= seedTimeout
 }
 
-// VMsListed is called when a ListVMs has succeeded with the VMs registered at the platform. It
-// queries one of those that read first.
+// VMsListed is called when a ListVMs has succeeded with the VMs registered at the platform.
+// It queries one of those that read first.
 func (s *Sync) VMsListed(vms []sparconfig.VM, now time.Duration) []Output {
 	same := func(vm sparconfig.VM) bool { return vm.Name == s.self.Name }
 	s.start.listing = listing{done: true, registered: slices.ContainsFunc(vms, same), at: now}
--- a/internal/peer/sparcontrol/doc.go
+++ b/internal/peer/sparcontrol/doc.go
@@ -5,7 +5,7 @@
 //	b := sparcontrol.EncodeBeat(sparcontrol.Report{Heartbeat: heartbeat})
 //	switch m, err := sparcontrol.Decode(b); m := m.(type) {
 //	case sparcontrol.Report:
-//		tracker.Heard(m.Heartbeat, now)
+//		tracker.Received(m.Heartbeat, now)
 //	}
 //
 // control.pb.go and control.twirp.go are generated from control.proto with protoc,
--- a/internal/vm/sparentry/packets.go
+++ b/internal/vm/sparentry/packets.go
@@ -73,7 +73,7 @@
 	}
 	defer vm.buffers.Put(p)
 	if vm.leave.Begun() {
-		vm.leave.Packet(vm.clock.now())
+		vm.leave.PacketReceived(vm.clock.now())
 	}
 	s, err := platform.Parse(p.bytes())
 	if err != nil {
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -58,7 +58,7 @@
 	case pulled:
 		vm.pullDone(in, now)
 	case probed:
-		vm.leave.Refused(now)
+		vm.leave.ProbeRefused(now)
 	case served:
 		vm.sync.Served(in.to, in.after, in.digest, in.whole)
 	case wrote:
@@ -75,7 +75,7 @@
 	case sparcontrol.Asked:
 		vm.perform(vm.sync.Queried(d.Query, now), now)
 	case sparcontrol.Departed:
-		vm.leave.Heard(d.Departure, now)
+		vm.leave.Received(d.Departure, now)
 	case sparcontrol.Received:
 		vm.sync.Confirmed(d.From, now)
 	default:
--- a/internal/vm/sparnode/facts.go
+++ b/internal/vm/sparnode/facts.go
@@ -45,6 +45,6 @@
 // and those that the platform lists as live.
 func (n *Node) Expected() []sparconfig.VM {
 	return slices.DeleteFunc(n.Tracker.Targets(), func(vm sparconfig.VM) bool {
-		return !n.Tracker.Hears(vm.Name, n.now) && !n.Tracker.ListedLive(vm.Name)
+		return !n.Tracker.ReceivesFrom(vm.Name, n.now) && !n.Tracker.RegisteredLive(vm.Name)
 	})
 }
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -197,7 +197,7 @@
 		if l.down || vm.stopped || vm.frozen || vm.readRevision == l.revision || l.blocked(vm.name, "platform") {
 			continue
 		}
-		if !vm.node.Tracker.Watches(l.now) {
+		if !vm.node.Tracker.ReadsPlatform(l.now) {
 			vm.readRevision = 0
 			continue
 		}
--- a/internal/vm/sparnode/node.go
+++ b/internal/vm/sparnode/node.go
@@ -82,7 +82,7 @@
 		now          time.Duration
 		wall         time.Time
 		lastBeat     time.Duration
-		beats        int
+		heartbeats   int
 		lastPulls    map[string]lastPull
 		inForce      uint64
 		lastSweep    time.Duration
@@ -128,7 +128,7 @@
 // all slots, so that a packet that waited in a socket buffer is not decided by an outdated
 // view.
 func (n *Node) Advance(now time.Duration, wall time.Time) {
-	paused := now-n.now > sparmember.Fresh
+	paused := now-n.now > sparmember.MaxPause
 	n.now, n.wall = now, wall
 	n.Engine.Advance(now, wall)
 	if !paused {
@@ -152,7 +152,7 @@
 
 func (n *Node) receiveReport(r sparcontrol.Report) {
 	n.clock.Observe(r.Stamp)
-	n.Tracker.Heard(r.Heartbeat, n.now)
+	n.Tracker.Received(r.Heartbeat, n.now)
 	name := r.Heartbeat.VM.Name
 	incarnation, ok := n.Tracker.Incarnation(name)
 	if s := n.streams[name]; s != nil && ok && s.Peer() != incarnation {
@@ -186,7 +186,7 @@
 		return false
 	}
 	for name, s := range n.streams {
-		if s.Pending() > 0 && n.Tracker.Hears(name, n.now) {
+		if s.Pending() > 0 && n.Tracker.ReceivesFrom(name, n.now) {
 			return false
 		}
 	}
@@ -199,7 +199,7 @@
 	n.Tracker.Tick(now)
 	n.Engine.SetView(n.Tracker.View(now))
 	n.Engine.SetNewerPeer(n.newerPeer())
-	n.Engine.SetViewIncomplete(n.Tracker.Partial(now))
+	n.Engine.SetViewIncomplete(n.Tracker.ViewIncomplete(now))
 	n.Engine.Tick()
 	var outs []Output
 	if now-n.lastBeat >= sparmember.Beat {
@@ -228,18 +228,18 @@
 
 func (n *Node) beat() []Output {
 	report := sparcontrol.Report{
-		Heartbeat: n.Tracker.Beats(n.inForce, n.snapshot.Digest, n.now),
+		Heartbeat: n.Tracker.Heartbeat(n.inForce, n.snapshot.Digest, n.now),
 	}
-	report.Heartbeat.Full = n.beats%fullEvery == 0
-	if n.beats%loadEvery == 0 {
+	report.Heartbeat.Full = n.heartbeats%fullEvery == 0
+	if n.heartbeats%loadEvery == 0 {
 		report.Loads = n.loads()
 		report.Stamp = n.clock.Next(n.wall)
 	}
-	n.beats++
+	n.heartbeats++
 	var outs []Output
 	for _, to := range n.Tracker.Targets() {
 		r := report
-		r.Heartbeat.Full = r.Heartbeat.Full || !n.Tracker.Knows(to.Name, n.now)
+		r.Heartbeat.Full = r.Heartbeat.Full || !n.Tracker.ReceivedBy(to.Name, n.now)
 		outs = append(outs, Beat{To: to, Report: r})
 	}
 	return outs
--- a/internal/vm/sparnode/streams.go
+++ b/internal/vm/sparnode/streams.go
@@ -59,10 +59,10 @@
 	for _, name := range slices.Sorted(maps.Keys(n.streams)) {
 		s := n.streams[name]
 		to, ok := n.Tracker.VM(name)
-		if !ok && !n.Tracker.Listed(name) {
+		if !ok && !n.Tracker.Registered(name) {
 			delete(n.streams, name)
 		}
-		if !ok || !n.Tracker.Hears(name, n.now) {
+		if !ok || !n.Tracker.ReceivesFrom(name, n.now) {
 			continue
 		}
 		for _, f := range s.Due(n.now) {
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -74,7 +74,7 @@
 		metrics *metrics
 		fabric  netip.AddrPort
 		peers   map[string]netip.AddrPort // data address by VM name
-		watch   chan bool                 // whether this VM watches the platform
+		watch   chan bool                 // whether this VM reads the platform
 		reached bool                      // the last read of the platform succeeded
 	}
 
@@ -249,12 +249,12 @@
 // updateWatch notifies watchPlatform whether this VM reads the platform for its failure
 // domain.
 func (s *Server) updateWatch(now time.Duration) {
-	watches := s.node.Tracker.Watches(now)
+	reads := s.node.Tracker.ReadsPlatform(now)
 	select {
 	case <-s.watch:
 	default:
 	}
-	s.watch <- watches
+	s.watch <- reads
 }
 
 func (s *Server) refreshPeers() {
