--- a/internal/peer/sparcontrol/codec.go
+++ b/internal/peer/sparcontrol/codec.go
@@ -73,15 +73,15 @@
 	switch body := m.Frame.Body.(type) {
 	case sparroute.Sync:
 		f.Body = &Frame_Sync{Sync: &Sync{
-			Service: body.Service, Reset_: convert(body.Reset, widen), Bases: convert(body.Bases, fromBase),
-			Pins: convert(body.Pins, fromPins), Removed: convert(body.Removed, fromKey),
+			Service: body.Service, Reset_: convert(body.Reset, widen), Bases: convert(body.Defaults, fromDefault),
+			Pins: convert(body.Flows, fromFlows), Removed: convert(body.Removed, fromKey),
 		}}
 	case sparroute.Handover:
 		f.Body = &Frame_Handover{Handover: &Handover{
-			Service: body.Service, Reset_: convert(body.Reset, widen), Pins: convert(body.Pins, fromPins),
+			Service: body.Service, Reset_: convert(body.Reset, widen), Pins: convert(body.Flows, fromFlows),
 		}}
-	case sparroute.Finish:
-		f.Body = &Frame_Finish{Finish: &Finish{Service: body.Service, Bases: convert(body.Bases, fromBase)}}
+	case sparroute.HandoverEnd:
+		f.Body = &Frame_Finish{Finish: &Finish{Service: body.Service, Bases: convert(body.Defaults, fromDefault)}}
 	}
 	return marshal(&Datagram{Body: &Datagram_Frame{Frame: f}})
 }
@@ -142,16 +142,16 @@
 	switch body := f.Body.(type) {
 	case *Frame_Sync:
 		m.Frame.Body = sparroute.Sync{
-			Service: body.Sync.Service, Reset: convert(body.Sync.Reset_, narrow), Bases: convert(body.Sync.Bases, toBase),
-			Pins: convert(body.Sync.Pins, toPins), Removed: convert(body.Sync.Removed, toKey),
+			Service: body.Sync.Service, Reset: convert(body.Sync.Reset_, narrow), Defaults: convert(body.Sync.Bases, toDefault),
+			Flows: convert(body.Sync.Pins, toFlows), Removed: convert(body.Sync.Removed, toKey),
 		}
 	case *Frame_Handover:
 		m.Frame.Body = sparroute.Handover{
 			Service: body.Handover.Service, Reset: convert(body.Handover.Reset_, narrow),
-			Pins: convert(body.Handover.Pins, toPins),
+			Flows: convert(body.Handover.Pins, toFlows),
 		}
 	case *Frame_Finish:
-		m.Frame.Body = sparroute.Finish{Service: body.Finish.Service, Bases: convert(body.Finish.Bases, toBase)}
+		m.Frame.Body = sparroute.HandoverEnd{Service: body.Finish.Service, Defaults: convert(body.Finish.Bases, toDefault)}
 	}
 	if m.Frame.Seq != 0 && m.Frame.Body == nil {
 		return Message{}, errors.New("frame without a body")
@@ -195,15 +195,15 @@
 func narrow(n uint32) uint16        { return uint16(min(n, 1<<16-1)) }
 func fromKey(k sparflow.Key) uint64 { return uint64(k) }
 func toKey(k uint64) sparflow.Key   { return sparflow.Key(k) }
-func fromBase(b sparroute.Base) *Base {
-	return &Base{Home: uint64(b.Home), Complete: b.Complete, Slots: convert(b.Slots, widen)}
+func fromDefault(d sparroute.DefaultUpstream) *Base {
+	return &Base{Home: uint64(d.Upstream), Complete: d.Complete, Slots: convert(d.Slots, widen)}
 }
-func toBase(b *Base) sparroute.Base {
-	return sparroute.Base{Home: sparflow.Endpoint(b.Home), Complete: b.Complete, Slots: convert(b.Slots, narrow)}
+func toDefault(b *Base) sparroute.DefaultUpstream {
+	return sparroute.DefaultUpstream{Upstream: sparflow.Endpoint(b.Home), Complete: b.Complete, Slots: convert(b.Slots, narrow)}
 }
-func fromPins(p sparroute.Pins) *Pins {
-	return &Pins{Home: uint64(p.Home), Opening: p.Opening, Doubt: p.Doubt, Keys: convert(p.Keys, fromKey)}
+func fromFlows(f sparroute.Flows) *Pins {
+	return &Pins{Home: uint64(f.Upstream), Opening: f.Opening, Doubt: f.Unverified, Keys: convert(f.Keys, fromKey)}
 }
-func toPins(p *Pins) sparroute.Pins {
-	return sparroute.Pins{Home: sparflow.Endpoint(p.Home), Opening: p.Opening, Doubt: p.Doubt, Keys: convert(p.Keys, toKey)}
+func toFlows(p *Pins) sparroute.Flows {
+	return sparroute.Flows{Upstream: sparflow.Endpoint(p.Home), Opening: p.Opening, Unverified: p.Doubt, Keys: convert(p.Keys, toKey)}
 }
--- a/internal/route/sparroute/engine_test.go
+++ b/internal/route/sparroute/engine_test.go
@@ -78,13 +78,13 @@
 // open opens n flows. Those of slots owned elsewhere are learned from a response.
 func open(e *sparroute.Engine, n int) (assigned []sparflow.Endpoint) {
 	for i := range n {
-		v := e.Forward(packet(i, sparroute.Opening))
+		v := e.Forward(packet(i, sparroute.SYN))
 		at := v.At
 		if v.Action == sparroute.ToPeer {
 			at = upstream(i % upstreams)
 			e.Return(response(i, at, sparroute.Data))
 		} else {
-			e.Return(response(i, at, sparroute.Accepting))
+			e.Return(response(i, at, sparroute.SYNACK))
 		}
 		assigned = append(assigned, at)
 	}
@@ -165,19 +165,19 @@
 		d, _ = d.WithDrain(upstream(i).String(), wall.Add(time.Hour))
 	}
 	e.Apply(settings(e.Snapshot(), 6, d))
-	assertAction(t, e.Forward(packet(1, sparroute.Opening)), sparroute.Refuse)
+	assertAction(t, e.Forward(packet(1, sparroute.SYN)), sparroute.Refuse)
 }
 
 func TestReturnOfOtherUpstreamIsDropped(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	at := e.Forward(packet(1, sparroute.Opening)).At
+	at := e.Forward(packet(1, sparroute.SYN)).At
 	other := upstream(0)
 	if other == at {
 		other = upstream(1)
 	}
-	assertAction(t, e.Return(response(1, other, sparroute.Accepting)), sparroute.Drop)
-	assertAction(t, e.Return(response(1, other, sparroute.Resetting)), sparroute.Drop)
-	assertAction(t, e.Return(response(1, at, sparroute.Accepting)), sparroute.ToCaller)
+	assertAction(t, e.Return(response(1, other, sparroute.SYNACK)), sparroute.Drop)
+	assertAction(t, e.Return(response(1, other, sparroute.RST)), sparroute.Drop)
+	assertAction(t, e.Return(response(1, at, sparroute.SYNACK)), sparroute.ToClient)
 }
 
 func TestAdoptedFlowOfRemovedUpstreamIsAborted(t *testing.T) {
@@ -185,7 +185,7 @@
 	removed := sparflow.MakeEndpoint(0x0A0000FE, 8080)
 	key := sparflow.NewHasher(1, 2).Key(sparflow.Tuple{Client: client(2), Service: service, Proto: sparflow.TCP})
 	e.Receive("vm-2", sparroute.Handover{
-		Service: "team/booking", Pins: []sparroute.Pins{{Home: removed, Keys: []sparflow.Key{key}}},
+		Service: "team/booking", Flows: []sparroute.Flows{{Upstream: removed, Keys: []sparflow.Key{key}}},
 	})
 	assertAction(t, e.Forward(packet(2, sparroute.Data)), sparroute.Abort)
 }
@@ -194,9 +194,9 @@
 	e := engine("tcp", "vm-1")
 	assigned := open(e, 3000) // some of them overrides
 	for i, at := range assigned {
-		e.Return(response(i, at, sparroute.Accepting))
-		e.Forward(packet(i, sparroute.Resetting))
-		v := e.Forward(packet(i, sparroute.Opening))
+		e.Return(response(i, at, sparroute.SYNACK))
+		e.Forward(packet(i, sparroute.RST))
+		v := e.Forward(packet(i, sparroute.SYN))
 		if v.At != at {
 			t.Fatalf("new flow with tuple %d is at %s, the closed one was at %s", i, v.At, at)
 		}
@@ -205,31 +205,31 @@
 
 func TestHalfCloseIsNotTheEnd(t *testing.T) {
 	e := engine("tcp", "vm-1")
-	at := e.Forward(packet(1, sparroute.Opening)).At
-	e.Return(response(1, at, sparroute.Accepting))
-	e.Forward(packet(1, sparroute.Finishing))
-	if use := e.Use("team/booking", at); use.Flows != 1 {
-		t.Fatalf("%d flows after half-close, want 1", use.Flows)
+	at := e.Forward(packet(1, sparroute.SYN)).At
+	e.Return(response(1, at, sparroute.SYNACK))
+	e.Forward(packet(1, sparroute.FIN))
+	if state := e.UpstreamState("team/booking", at); state.Flows != 1 {
+		t.Fatalf("%d flows after half-close, want 1", state.Flows)
 	}
-	assertAction(t, e.Return(response(1, at, sparroute.Data)), sparroute.ToCaller)
-	e.Return(response(1, at, sparroute.Finishing))
-	if use := e.Use("team/booking", at); use.Flows != 0 {
-		t.Errorf("%d flows after both halves closed, want 0", use.Flows)
+	assertAction(t, e.Return(response(1, at, sparroute.Data)), sparroute.ToClient)
+	e.Return(response(1, at, sparroute.FIN))
+	if state := e.UpstreamState("team/booking", at); state.Flows != 0 {
+		t.Errorf("%d flows after both halves closed, want 0", state.Flows)
 	}
 }
 
 func TestUnansweredOpeningMovesToOtherUpstream(t *testing.T) {
 	e := engine("tcp", "vm-1")
 	now := time.Second
-	at := e.Forward(packet(1, sparroute.Opening)).At
+	at := e.Forward(packet(1, sparroute.SYN)).At
 	for try := range 6 {
 		now += 3 * time.Second
 		e.Advance(now, wall)
-		v := e.Forward(packet(1, sparroute.Opening))
+		v := e.Forward(packet(1, sparroute.SYN))
 		assertAction(t, v, sparroute.ToUpstream)
 		if v.At != at {
 			t.Logf("moved after %d retransmissions", try+1)
-			assertAction(t, e.Return(response(1, at, sparroute.Accepting)), sparroute.Drop)
+			assertAction(t, e.Return(response(1, at, sparroute.SYNACK)), sparroute.Drop)
 			return
 		}
 	}
@@ -249,8 +249,8 @@
 	}
 	e.Advance(600*time.Second, wall)
 	e.Tick()
-	if use := e.Use("team/booking", at); use.Flows != 0 {
-		t.Errorf("%d flows after the idle time, want 0", use.Flows)
+	if state := e.UpstreamState("team/booking", at); state.Flows != 0 {
+		t.Errorf("%d flows after the idle time, want 0", state.Flows)
 	}
 }
 
@@ -262,11 +262,11 @@
 	d.Upstreams = append(d.Upstreams, sparconfig.Member{At: upstream(upstreams).String()})
 	e.Apply(settings(e.Snapshot(), 6, d))
 	for i := range 3000 {
-		e.Forward(packet(100_000+i, sparroute.Opening))
+		e.Forward(packet(100_000+i, sparroute.SYN))
 	}
 	fair := 18_000 / 16
-	if use := e.Use("team/booking", upstream(upstreams)); use.Flows == 0 || use.Flows > fair/5 {
-		t.Errorf("%d flows at the start of warming, fair share %d", use.Flows, fair)
+	if state := e.UpstreamState("team/booking", upstream(upstreams)); state.Flows == 0 || state.Flows > fair/5 {
+		t.Errorf("%d flows at the start of warming, fair share %d", state.Flows, fair)
 	}
 }
 
@@ -298,7 +298,7 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		e.Forward(packet(i%(1<<20), sparroute.Opening))
+		e.Forward(packet(i%(1<<20), sparroute.SYN))
 		i++
 	}
 }
--- a/internal/route/sparroute/forward.go
+++ b/internal/route/sparroute/forward.go
@@ -36,7 +36,7 @@
 	key := e.hasher.Key(tuple)
 	if !g.carries[s.From] {
 		e.stats.Aborted++
-		return Verdict{Action: AbortCaller, At: g.service.Address, Key: key}
+		return Verdict{Action: AbortClient, At: g.service.Address, Key: key}
 	}
 	sl := &g.slots[key.Slot()]
 	switch {
@@ -49,7 +49,7 @@
 	case s.Proto == sparflow.TCP:
 		e.cache.Put(key, s.From, e.now)
 	}
-	return Verdict{Action: ToCaller, At: g.service.Address, Key: key}
+	return Verdict{Action: ToClient, At: g.service.Address, Key: key}
 }
 
 // returnByOwner redirects a response that opens or ends a flow to the owner, which alone
@@ -83,7 +83,7 @@
 
 // forwardAwaiting decides on a packet of a slot whose handover to this VM is in progress.
 func (e *Engine) forwardAwaiting(g *group, sl *slot, key sparflow.Key, s Segment) Verdict {
-	if s.Kind == Opening {
+	if s.Kind == SYN {
 		return e.hold(g, key)
 	}
 	if f, ok := g.flows[key]; ok && f.state != flowClosed {
@@ -111,7 +111,7 @@
 			return e.redirect(peer)
 		}
 	}
-	if s.Kind == Opening {
+	if s.Kind == SYN {
 		return e.drop(TooManyHops)
 	}
 	if f, ok := g.flows[key]; ok && f.state != flowClosed {
@@ -135,7 +135,7 @@
 // forwardOwned decides on a packet of a slot that this VM owns.
 func (e *Engine) forwardOwned(g *group, sl *slot, key sparflow.Key, s Segment) Verdict {
 	f, known := g.flows[key]
-	if s.Kind == Opening || s.Proto == sparflow.UDP && !known && !e.maybeOlder(g, sl) {
+	if s.Kind == SYN || s.Proto == sparflow.UDP && !known && !e.maybeOlder(g, sl) {
 		return e.open(g, sl, key, f, known)
 	}
 	if known {
@@ -179,11 +179,11 @@
 	case s.Proto == sparflow.UDP:
 		f.changed = e.seconds()
 		g.flows[key] = f
-	case s.Kind == Finishing && f.flags&flagClientFIN == 0:
+	case s.Kind == FIN && f.flags&flagClientFIN == 0:
 		f.flags |= flagClientFIN
 		f.changed = e.seconds()
 		e.closeIfFinished(g, key, f)
-	case s.Kind == Resetting:
+	case s.Kind == RST:
 		e.close(g, key, f)
 	}
 	v := e.toUpstream(g, key, f.upstream)
@@ -197,7 +197,7 @@
 	f, known := g.flows[key]
 	if !known {
 		certain := g.slots[key.Slot()].overridesKnown && !e.viewIncomplete
-		return s.Kind != Resetting || certain
+		return s.Kind != RST || certain
 	}
 	if f.upstream != s.From {
 		return f.state == flowClosed && s.Kind == Data
@@ -206,19 +206,19 @@
 		return e.trackSearch(g, key, s, f)
 	}
 	switch s.Kind {
-	case Accepting, Data:
+	case SYNACK, Data:
 		if f.state == flowOpening {
 			f.state, f.changed = flowOpen, e.seconds()
 			g.flows[key] = f
 			e.recordSuccess(g, f.upstream)
 		}
-	case Finishing:
+	case FIN:
 		if f.flags&flagUpstreamFIN == 0 {
 			f.flags |= flagUpstreamFIN
 			f.changed = e.seconds()
 			e.closeIfFinished(g, key, f)
 		}
-	case Resetting:
+	case RST:
 		if f.flags&flagUnverified != 0 {
 			f.flags &^= flagUnverified
 			f.state = flowSearch
--- a/internal/route/sparroute/handover.go
+++ b/internal/route/sparroute/handover.go
@@ -17,9 +17,9 @@
 		if g := e.groups[m.Service]; g != nil {
 			e.receiveHandover(g, m)
 		}
-	case Finish:
+	case HandoverEnd:
 		if g := e.groups[m.Service]; g != nil {
-			e.receiveFinish(g, peer, m)
+			e.receiveHandoverEnd(g, peer, m)
 		}
 	}
 }
@@ -37,11 +37,11 @@
 		e.queue(peer, Handover{Service: g.service.Name, Reset: chunk})
 	}
 	for _, chunk := range flowChunks(&flows) {
-		e.queue(peer, Handover{Service: g.service.Name, Pins: chunk})
+		e.queue(peer, Handover{Service: g.service.Name, Flows: chunk})
 	}
 	last := ack{peer: peer}
 	for _, chunk := range defaultChunks(g, slots) {
-		last.seq = e.queue(peer, Finish{Service: g.service.Name, Bases: chunk})
+		last.seq = e.queue(peer, HandoverEnd{Service: g.service.Name, Defaults: chunk})
 	}
 	g.handovers = append(g.handovers, handover{ack: last, slots: slots})
 	g.scanDue = true
@@ -89,15 +89,15 @@
 
 func (e *Engine) receiveHandover(g *group, m Handover) {
 	e.reset(g, m.Reset)
-	for _, p := range m.Pins {
-		f := flow{upstream: p.Home, changed: e.seconds(), state: flowOpen}
-		if p.Opening {
+	for _, flows := range m.Flows {
+		f := flow{upstream: flows.Upstream, changed: e.seconds(), state: flowOpen}
+		if flows.Opening {
 			f.state = flowOpening
 		}
-		if p.Doubt {
+		if flows.Unverified {
 			f.flags |= flagUnverified
 		}
-		for _, key := range p.Keys {
+		for _, key := range flows.Keys {
 			e.adopt(g, key, f)
 		}
 	}
@@ -145,17 +145,17 @@
 	}
 }
 
-// receiveFinish completes a handover. A VM that is not yet the owner in its view keeps
+// receiveHandoverEnd completes a handover. A VM that is not yet the owner in its view keeps
 // the received records until it is.
-func (e *Engine) receiveFinish(g *group, peer string, m Finish) {
+func (e *Engine) receiveHandoverEnd(g *group, peer string, m HandoverEnd) {
 	slots := 0
-	for _, b := range m.Bases {
-		for _, n := range b.Slots {
+	for _, d := range m.Defaults {
+		for _, n := range d.Slots {
 			if int(n) >= len(g.slots) || g.slots[n].phase == owning {
 				continue
 			}
 			sl := &g.slots[n]
-			sl.defaultUpstream, sl.complete = b.Home, b.Complete
+			sl.defaultUpstream, sl.complete = d.Upstream, d.Complete
 			sl.handed, sl.overridesKnown, sl.from, sl.since = true, true, peer, e.now
 			g.scanDue = true
 			slots++
--- a/internal/route/sparroute/health.go
+++ b/internal/route/sparroute/health.go
@@ -78,20 +78,20 @@
 	}
 }
 
-// Use is the use of one upstream as seen by this VM.
-type Use struct {
+// UpstreamState is the load and health of one upstream as seen by this VM.
+type UpstreamState struct {
 	Flows      int  // open flows with a record in slots owned here
 	Unrecorded bool // the upstream may have flows without a record
 	Healthy    bool // healthy by the flows seen here
 }
 
-// Use returns the use of an upstream of a service as seen by this VM.
-func (e *Engine) Use(service string, at sparflow.Endpoint) Use {
+// UpstreamState returns the state of an upstream of a service as seen by this VM.
+func (e *Engine) UpstreamState(service string, at sparflow.Endpoint) UpstreamState {
 	g := e.groups[service]
 	if g == nil {
-		return Use{}
+		return UpstreamState{}
 	}
-	u := Use{Flows: g.load.own[at], Healthy: e.healthy(g, at)}
+	u := UpstreamState{Flows: g.load.own[at], Healthy: e.healthy(g, at)}
 	for n := range g.slots {
 		sl := &g.slots[n]
 		recorded := sl.phase == owning && sl.complete
--- a/internal/route/sparroute/message.go
+++ b/internal/route/sparroute/message.go
@@ -11,7 +11,7 @@
 
 type (
 	// Message is a message between the routing engines of two VMs. It is a sealed
-	// interface: Sync, Handover or Finish.
+	// interface: Sync, Handover or HandoverEnd.
 	Message interface {
 		message()
 	}
@@ -19,45 +19,46 @@
 	// Sync updates the overrides and default upstreams that a standby keeps. Reset lists
 	// the slots whose records are deleted first.
 	Sync struct {
-		Service string
-		Reset   []uint16
-		Bases   []Base
-		Pins    []Pins
-		Removed []sparflow.Key
+		Service  string
+		Reset    []uint16
+		Defaults []DefaultUpstream
+		Flows    []Flows
+		Removed  []sparflow.Key
 	}
 
 	// Handover carries the flows of slots to their next owner. Reset is as in Sync.
 	Handover struct {
 		Service string
 		Reset   []uint16
-		Pins    []Pins
+		Flows   []Flows
 	}
 
-	// Finish makes the receiver the owner of the slots in Bases.
-	Finish struct {
-		Service string
-		Bases   []Base
+	// HandoverEnd makes the receiver the owner of the slots in Defaults.
+	HandoverEnd struct {
+		Service  string
+		Defaults []DefaultUpstream
 	}
 
-	// Base is the default upstream of slots, to which their flows without a record belong.
-	Base struct {
-		Home     sparflow.Endpoint
+	// DefaultUpstream is the default upstream of slots, to which their flows without a
+	// record belong.
+	DefaultUpstream struct {
+		Upstream sparflow.Endpoint
 		Complete bool // every open flow of the slots has a record
 		Slots    []uint16
 	}
 
-	// Pins is a set of flows at one upstream.
-	Pins struct {
-		Home    sparflow.Endpoint
-		Opening bool // no response from the upstream seen yet
-		Doubt   bool // may also be open at another upstream, across a network partition
-		Keys    []sparflow.Key
+	// Flows is a set of flows at one upstream.
+	Flows struct {
+		Upstream   sparflow.Endpoint
+		Opening    bool // no response from the upstream seen yet
+		Unverified bool // may also be open at another upstream, across a network partition
+		Keys       []sparflow.Key
 	}
 )
 
-func (Sync) message()     {}
-func (Handover) message() {}
-func (Finish) message()   {}
+func (Sync) message()        {}
+func (Handover) message()    {}
+func (HandoverEnd) message() {}
 
 // batch groups items by attributes that they share, in order of the first item of each
 // group.
@@ -66,14 +67,14 @@
 	order  []A
 }
 
-// flowAttrs are the attributes that the flows of one Pins share.
+// flowAttrs are the attributes that the keys of one Flows share.
 type flowAttrs struct {
 	upstream   sparflow.Endpoint
 	opening    bool
 	unverified bool
 }
 
-// slotAttrs are the attributes that the slots of one Base share.
+// slotAttrs are the attributes that the slots of one DefaultUpstream share.
 type slotAttrs struct {
 	upstream sparflow.Endpoint
 	complete bool
@@ -115,9 +116,9 @@
 }
 
 // flowChunks returns flows as lists that each fit a message.
-func flowChunks(flows *batch[flowAttrs, sparflow.Key]) [][]Pins {
-	return chunks(flows, maxKeys, func(a flowAttrs, keys []sparflow.Key) Pins {
-		return Pins{Home: a.upstream, Opening: a.opening, Doubt: a.unverified, Keys: keys}
+func flowChunks(flows *batch[flowAttrs, sparflow.Key]) [][]Flows {
+	return chunks(flows, maxKeys, func(a flowAttrs, keys []sparflow.Key) Flows {
+		return Flows{Upstream: a.upstream, Opening: a.opening, Unverified: a.unverified, Keys: keys}
 	})
 }
 
@@ -127,12 +128,12 @@
 }
 
 // defaultChunks returns the default upstreams of slots as lists that each fit a message.
-func defaultChunks(g *group, slots []uint16) [][]Base {
+func defaultChunks(g *group, slots []uint16) [][]DefaultUpstream {
 	var b batch[slotAttrs, uint16]
 	for _, n := range slots {
 		b.add(slotAttrs{g.slots[n].defaultUpstream, g.slots[n].complete}, n)
 	}
-	return chunks(&b, maxSlots, func(a slotAttrs, slots []uint16) Base {
-		return Base{Home: a.upstream, Complete: a.complete, Slots: slots}
+	return chunks(&b, maxSlots, func(a slotAttrs, slots []uint16) DefaultUpstream {
+		return DefaultUpstream{Upstream: a.upstream, Complete: a.complete, Slots: slots}
 	})
 }
--- a/internal/route/sparroute/place.go
+++ b/internal/route/sparroute/place.go
@@ -102,7 +102,7 @@
 	delete(g.ended, key)
 	acks := e.sendToStandbys(key.Slot(), Sync{
 		Service: g.service.Name,
-		Pins:    []Pins{{Home: upstream, Keys: []sparflow.Key{key}}},
+		Flows:   []Flows{{Upstream: upstream, Keys: []sparflow.Key{key}}},
 	})
 	if len(acks) == 0 {
 		return e.forwardOpening(g, key, f)
--- a/internal/route/sparroute/search.go
+++ b/internal/route/sparroute/search.go
@@ -53,7 +53,7 @@
 // trackSearch continues or ends a search by the response of the upstream tried. It reports
 // whether the response may reach the client.
 func (e *Engine) trackSearch(g *group, key sparflow.Key, s Segment, f flow) bool {
-	if s.Kind != Resetting {
+	if s.Kind != RST {
 		f.state = flowOpen
 		e.record(g, key, f)
 		return true
--- a/internal/route/sparroute/sync.go
+++ b/internal/route/sparroute/sync.go
@@ -34,7 +34,7 @@
 		}
 		e.sendFlows(g, peer, slots, func(f flow, sl *slot) bool { return f.upstream != sl.defaultUpstream })
 		for _, chunk := range defaultChunks(g, slots) {
-			e.queue(peer, Sync{Service: g.service.Name, Bases: chunk})
+			e.queue(peer, Sync{Service: g.service.Name, Defaults: chunk})
 		}
 	}
 }
@@ -53,26 +53,26 @@
 		g.flows[key] = f
 	}
 	for _, chunk := range flowChunks(&flows) {
-		e.queue(peer, Sync{Service: g.service.Name, Pins: chunk})
+		e.queue(peer, Sync{Service: g.service.Name, Flows: chunk})
 	}
 }
 
 // receiveSync applies an update from the owner of slots to their standby.
 func (e *Engine) receiveSync(g *group, m Sync) {
 	e.reset(g, m.Reset)
-	for _, p := range m.Pins {
-		f := flow{upstream: p.Home, changed: e.seconds(), state: flowOpen, flags: flagReplicated}
-		if p.Doubt {
+	for _, flows := range m.Flows {
+		f := flow{upstream: flows.Upstream, changed: e.seconds(), state: flowOpen, flags: flagReplicated}
+		if flows.Unverified {
 			f.flags |= flagUnverified
 		}
-		for _, key := range p.Keys {
+		for _, key := range flows.Keys {
 			e.adopt(g, key, f)
 		}
 	}
-	for _, b := range m.Bases {
-		for _, n := range b.Slots {
+	for _, d := range m.Defaults {
+		for _, n := range d.Slots {
 			if int(n) < len(g.slots) && g.slots[n].phase != owning && !g.slots[n].handed {
-				g.slots[n].defaultUpstream, g.slots[n].overridesKnown = b.Home, true
+				g.slots[n].defaultUpstream, g.slots[n].overridesKnown = d.Upstream, true
 			}
 		}
 	}
@@ -126,8 +126,8 @@
 		e.sendFlows(g, peer, list, func(f flow, sl *slot) bool { return f.upstream == sl.defaultUpstream })
 		var seq uint64
 		for chunk := range slices.Chunk(list, maxSlots) {
-			base := Base{Home: upstream, Complete: true, Slots: chunk}
-			seq = e.queue(peer, Sync{Service: g.service.Name, Bases: []Base{base}})
+			d := DefaultUpstream{Upstream: upstream, Complete: true, Slots: chunk}
+			seq = e.queue(peer, Sync{Service: g.service.Name, Defaults: []DefaultUpstream{d}})
 		}
 		p.acks = append(p.acks, ack{peer: peer, seq: seq})
 	}
--- a/internal/route/sparroute/verdict.go
+++ b/internal/route/sparroute/verdict.go
@@ -9,8 +9,8 @@
 	Drop Action = iota
 	// ToUpstream rewrites the destination to At.
 	ToUpstream
-	// ToCaller rewrites the source to At.
-	ToCaller
+	// ToClient rewrites the source to At.
+	ToClient
 	// ToPeer redirects the packet to the VM called Peer.
 	ToPeer
 	// Hold keeps the packet until a Release for Key.
@@ -21,21 +21,21 @@
 	// Abort answers a packet whose upstream has been removed with RST. The outcome of the
 	// request is unknown.
 	Abort
-	// AbortCaller replaces a packet from a removed upstream by RST to its client.
-	AbortCaller
+	// AbortClient replaces a packet from a removed upstream by RST to its client.
+	AbortClient
 )
 
 const (
 	// Data is a packet within a flow.
 	Data Kind = iota
-	// Opening is SYN without ACK.
-	Opening
-	// Accepting is SYN with ACK.
-	Accepting
-	// Finishing is FIN.
-	Finishing
-	// Resetting is RST.
-	Resetting
+	// SYN opens a flow: SYN without ACK.
+	SYN
+	// SYNACK accepts a flow: SYN with ACK.
+	SYNACK
+	// FIN closes one half of a flow.
+	FIN
+	// RST aborts a flow.
+	RST
 )
 
 // Causes of a Drop or Refuse.
--- a/internal/vm/sparnode/facts.go
+++ b/internal/vm/sparnode/facts.go
@@ -32,10 +32,10 @@
 func (n *Node) serviceFacts(name string, service *sparconfig.Service) *sparcontrol.ServiceFacts {
 	facts := &sparcontrol.ServiceFacts{Name: name, Revision: service.Revision}
 	for _, u := range service.Upstreams {
-		use := n.Engine.Use(name, u.At)
+		state := n.Engine.UpstreamState(name, u.At)
 		facts.Upstreams = append(facts.Upstreams, &sparcontrol.UpstreamFacts{
 			At: uint64(u.At), Draining: u.Draining, Gone: u.DrainEnded(n.wall), Until: u.Until.Unix(),
-			Flows: uint32(use.Flows), Healthy: use.Healthy, Unrecorded: use.Unrecorded,
+			Flows: uint32(state.Flows), Healthy: state.Healthy, Unrecorded: state.Unrecorded,
 		})
 	}
 	return facts
--- a/internal/vm/sparnode/failure_test.go
+++ b/internal/vm/sparnode/failure_test.go
@@ -204,7 +204,7 @@
 	vm.node.Advance(l.now, l.wall())
 	for i := range 500 {
 		vm.node.Engine.Forward(sparroute.Segment{
-			From: client(5000 + i), To: endpoint(d.Address), Proto: sparflow.TCP, Kind: sparroute.Opening,
+			From: client(5000 + i), To: endpoint(d.Address), Proto: sparflow.TCP, Kind: sparroute.SYN,
 		})
 	}
 	s := vm.node.Engine.Stats()
--- a/internal/vm/sparnode/hosts_test.go
+++ b/internal/vm/sparnode/hosts_test.go
@@ -16,29 +16,29 @@
 	}
 	back := sparroute.Segment{From: at, To: s.From, Proto: s.Proto, Kind: sparroute.Data}
 	switch {
-	case s.Kind == sparroute.Opening && u.unresponsive:
+	case s.Kind == sparroute.SYN && u.unresponsive:
 		return
-	case s.Kind == sparroute.Opening && u.refusing:
-		back.Kind = sparroute.Resetting
-	case s.Kind == sparroute.Opening:
+	case s.Kind == sparroute.SYN && u.refusing:
+		back.Kind = sparroute.RST
+	case s.Kind == sparroute.SYN:
 		if !u.conns[f] {
 			u.opened = append(u.opened, l.now)
 		}
 		u.conns[f] = true
-		back.Kind = sparroute.Accepting
-	case !u.conns[f] && s.Kind == sparroute.Finishing && f.upstream == at:
-		back.Kind = sparroute.Finishing // the kernel answers a retransmitted FIN
+		back.Kind = sparroute.SYNACK
+	case !u.conns[f] && s.Kind == sparroute.FIN && f.upstream == at:
+		back.Kind = sparroute.FIN // the kernel answers a retransmitted FIN
 	case !u.conns[f]:
-		back.Kind = sparroute.Resetting
-	case s.Kind == sparroute.Resetting:
+		back.Kind = sparroute.RST
+	case s.Kind == sparroute.RST:
 		delete(u.conns, f)
 		return
 	case f.upstream != at: // half-open here, accepted by another upstream: the ACK does not match
 		delete(u.conns, f)
-		back.Kind = sparroute.Resetting
-	case s.Kind == sparroute.Finishing:
+		back.Kind = sparroute.RST
+	case s.Kind == sparroute.FIN:
 		delete(u.conns, f)
-		back.Kind = sparroute.Finishing
+		back.Kind = sparroute.FIN
 	}
 	l.route(l.spray(), f, back)
 }
@@ -46,17 +46,17 @@
 // clientReceive acts as the kernel of a client that receives a packet.
 func (l *lab) clientReceive(f *labFlow, s sparroute.Segment) {
 	switch s.Kind {
-	case sparroute.Accepting:
+	case sparroute.SYNACK:
 		if !f.open {
 			f.open, f.upstream = true, s.From
 		}
-	case sparroute.Resetting:
+	case sparroute.RST:
 		if f.open {
 			f.broken = "reset"
 		} else {
 			f.refused = true
 		}
-	case sparroute.Finishing:
+	case sparroute.FIN:
 		f.open = false
 	default:
 		f.noteResponse(s.From)
@@ -83,13 +83,13 @@
 }
 
 func (l *lab) sendSYN(f *labFlow) {
-	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Opening})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.SYN})
 }
 
 // end sends FIN. The flow is closed once the upstream has answered with its own.
 func (l *lab) end(f *labFlow) {
 	f.ending = true
-	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.Finishing})
+	l.route(l.spray(), f, sparroute.Segment{From: f.tuple.Client, To: f.tuple.Service, Proto: f.tuple.Proto, Kind: sparroute.FIN})
 }
 
 // open opens n flows to a service and retransmits each SYN until it is answered.
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -303,13 +303,13 @@
 				vm.held[v.Key] = heldPacket{f, s.Kind}
 			}
 			l.upstreamReceive(f, v.At, s)
-		case sparroute.ToCaller:
+		case sparroute.ToClient:
 			l.clientReceive(f, s)
 		case sparroute.Hold:
 			vm.held[v.Key] = heldPacket{f, s.Kind}
 		case sparroute.Refuse:
 			f.refused = true
-		case sparroute.Abort, sparroute.AbortCaller:
+		case sparroute.Abort, sparroute.AbortClient:
 			if f.open {
 				f.broken = "aborted"
 			}
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -122,7 +122,7 @@
 	verdict := s.route(segment)
 	switch verdict.Action {
 	case sparroute.ToUpstream:
-		if segment.Kind == sparroute.Opening {
+		if segment.Kind == sparroute.SYN {
 			v.StripData()
 		}
 		if verdict.Keep {
@@ -130,7 +130,7 @@
 		}
 		v.RewriteTarget(verdict.At)
 		s.send(p, v.Inner, 0, s.fabric)
-	case sparroute.ToCaller:
+	case sparroute.ToClient:
 		v.RewriteSource(verdict.At)
 		s.send(p, v.Inner, 0, s.fabric)
 	case sparroute.ToPeer:
@@ -141,7 +141,7 @@
 		}
 	case sparroute.Refuse, sparroute.Abort:
 		s.send(p, sparpacket.Reset(v), 0, s.fabric)
-	case sparroute.AbortCaller:
+	case sparroute.AbortClient:
 		s.send(p, abortClient(v, verdict.At), 0, s.fabric)
 	default:
 		s.buffers.Put(p)
@@ -201,13 +201,13 @@
 	case v.Proto == sparflow.UDP:
 		return sparroute.Data
 	case v.RST():
-		return sparroute.Resetting
+		return sparroute.RST
 	case v.SYN():
-		return sparroute.Opening
+		return sparroute.SYN
 	case v.SYNACK():
-		return sparroute.Accepting
+		return sparroute.SYNACK
 	case v.FIN():
-		return sparroute.Finishing
+		return sparroute.FIN
 	}
 	return sparroute.Data
 }
