--- a/internal/operator/sparstatus/status.go
+++ b/internal/operator/sparstatus/status.go
@@ -85,7 +85,7 @@
 	}
 	for range controls {
 		if reply := <-replies; reply != nil {
-			return Judge(reply)
+			return FromSurvey(reply)
 		}
 	}
 	return Report{}
@@ -140,8 +140,8 @@
 	return b.String()
 }
 
-// Judge derives the facts from a survey.
-func Judge(s *sparcontrol.SurveyReply) Report {
+// FromSurvey derives the facts from a survey.
+func FromSurvey(s *sparcontrol.SurveyReply) Report {
 	d := deriver{survey: s, complete: len(s.Silent) == 0}
 	r := Report{Answered: len(s.Answered), Silent: slices.Sorted(slices.Values(s.Silent))}
 	for _, a := range s.Answered {
--- a/internal/peer/sparcontrol/codec.go
+++ b/internal/peer/sparcontrol/codec.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// Input is a decoded datagram. It is a sealed interface: Report, Message, Told,
-	// Received, Asked or Departed.
+	// Input is a decoded datagram. It is a sealed interface: Report, Message,
+	// ReceivedNotification, ReceivedReceipt, ReceivedQuery or ReceivedDeparture.
 	Input interface {
 		input()
 	}
@@ -41,12 +41,12 @@
 	}
 )
 
-func (Report) input()   {}
-func (Message) input()  {}
-func (Told) input()     {}
-func (Received) input() {}
-func (Asked) input()    {}
-func (Departed) input() {}
+func (Report) input()               {}
+func (Message) input()              {}
+func (ReceivedNotification) input() {}
+func (ReceivedReceipt) input()      {}
+func (ReceivedQuery) input()        {}
+func (ReceivedDeparture) input()    {}
 
 // EncodeBeat encodes a heartbeat as a datagram.
 func EncodeBeat(r Report) []byte {
@@ -103,10 +103,10 @@
 	case *Datagram_Frame:
 		return decodeFrame(body.Frame)
 	case *Datagram_Notice:
-		return decodeNotice(body.Notice)
+		return decodeNotification(body.Notice)
 	case *Datagram_Receipt:
 		vm := body.Receipt.GetFrom().ToVM()
-		return Received{From: vm}, sparconfig.CheckName(vm.Name)
+		return ReceivedReceipt{From: vm}, sparconfig.CheckName(vm.Name)
 	case *Datagram_Query:
 		return decodeQuery(body.Query)
 	case *Datagram_Departure:
--- a/internal/peer/sparcontrol/codec_test.go
+++ b/internal/peer/sparcontrol/codec_test.go
@@ -15,7 +15,7 @@
 // TestDatagrams encodes and decodes the messages between VMs of the cookie carrier.
 func TestDatagrams(t *testing.T) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2", State: sparconfig.Live}
-	notice := sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: 6 * time.Millisecond}
+	notification := sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: 6 * time.Millisecond}
 	query := sparsync.Query{From: vm, Synced: true, Age: 7 * time.Millisecond}
 	departure := sparleave.Departure{From: "vm-1", Refusing: true}
 	tests := []struct {
@@ -23,10 +23,10 @@
 		bytes []byte
 		want  sparcontrol.Input
 	}{
-		{"notice", sparcontrol.EncodeNotice(notice), sparcontrol.Told{Notice: notice}},
-		{"query", sparcontrol.EncodeQuery(query), sparcontrol.Asked{Query: query}},
-		{"receipt", sparcontrol.EncodeReceipt(vm), sparcontrol.Received{From: sparconfig.VM{Name: "vm-1", State: sparconfig.Live}}},
-		{"departure", sparcontrol.EncodeDeparture(departure), sparcontrol.Departed{Departure: departure}},
+		{"notification", sparcontrol.EncodeNotification(notification), sparcontrol.ReceivedNotification{Notification: notification}},
+		{"query", sparcontrol.EncodeQuery(query), sparcontrol.ReceivedQuery{Query: query}},
+		{"receipt", sparcontrol.EncodeReceipt(vm), sparcontrol.ReceivedReceipt{From: sparconfig.VM{Name: "vm-1", State: sparconfig.Live}}},
+		{"departure", sparcontrol.EncodeDeparture(departure), sparcontrol.ReceivedDeparture{Departure: departure}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -41,10 +41,10 @@
 // TestNamelessDatagramsAreRefused decodes messages without a VM name, which no VM sends.
 func TestNamelessDatagramsAreRefused(t *testing.T) {
 	for name, bytes := range map[string][]byte{
-		"departure": sparcontrol.EncodeDeparture(sparleave.Departure{Refusing: true}),
-		"receipt":   sparcontrol.EncodeReceipt(sparconfig.VM{}),
-		"query":     sparcontrol.EncodeQuery(sparsync.Query{}),
-		"notice":    sparcontrol.EncodeNotice(sparsync.Notification{}),
+		"departure":    sparcontrol.EncodeDeparture(sparleave.Departure{Refusing: true}),
+		"receipt":      sparcontrol.EncodeReceipt(sparconfig.VM{}),
+		"query":        sparcontrol.EncodeQuery(sparsync.Query{}),
+		"notification": sparcontrol.EncodeNotification(sparsync.Notification{}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := sparcontrol.Decode(bytes); err == nil {
@@ -62,7 +62,7 @@
 	}, 6).With(sparregistry.Entry{Key: "a", Revision: 7, Deleted: true})
 	for _, after := range []uint64{0, 4, 7} {
 		want := registry.Delta(after)
-		got, err := sparcontrol.DecodeShare(sparcontrol.EncodeShare(want))
+		got, err := sparcontrol.DecodeDelta(sparcontrol.EncodeDelta(want))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,9 +83,9 @@
 func TestAgesOutOfRange(t *testing.T) {
 	from := sparconfig.VM{Name: "vm-1", Domain: "a", Data: "10.0.0.1:1", Control: "10.0.0.1:2"}
 	for name, bytes := range map[string][]byte{
-		"notice": sparcontrol.EncodeNotice(sparsync.Notification{From: from, Reader: "vm-1", Round: 1, Age: -time.Hour}),
-		"query":  sparcontrol.EncodeQuery(sparsync.Query{From: from, Synced: true, Age: -time.Hour}),
-		"outage": sparcontrol.EncodeQuery(sparsync.Query{From: from, Outages: []sparsync.Outage{{VM: "vm-1", Age: -time.Hour}}}),
+		"notification": sparcontrol.EncodeNotification(sparsync.Notification{From: from, Reader: "vm-1", Round: 1, Age: -time.Hour}),
+		"query":        sparcontrol.EncodeQuery(sparsync.Query{From: from, Synced: true, Age: -time.Hour}),
+		"outage":       sparcontrol.EncodeQuery(sparsync.Query{From: from, Outages: []sparsync.Outage{{VM: "vm-1", Age: -time.Hour}}}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := sparcontrol.Decode(bytes); err == nil {
@@ -95,17 +95,17 @@
 	}
 }
 
-// TestDamagedShares decodes shares that are truncated or declare a size above the limit.
-func TestDamagedShares(t *testing.T) {
-	whole := sparcontrol.EncodeShare(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
+// TestDamagedDeltas decodes deltas that are truncated or declare a size above the limit.
+func TestDamagedDeltas(t *testing.T) {
+	whole := sparcontrol.EncodeDelta(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
 	}, 6).Delta(0))
 	for n := range whole {
-		if got, err := sparcontrol.DecodeShare(whole[:n]); err == nil {
+		if got, err := sparcontrol.DecodeDelta(whole[:n]); err == nil {
 			t.Errorf("the first %d of %d bytes are decoded as %+v, want an error", n, len(whole), got)
 		}
 	}
-	if _, err := sparcontrol.DecodeShare([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 0}); err == nil {
-		t.Error("a share of 4 GB is accepted")
+	if _, err := sparcontrol.DecodeDelta([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 0}); err == nil {
+		t.Error("a delta of 4 GB is accepted")
 	}
 }
--- a/internal/peer/sparcontrol/share.go
+++ b/internal/peer/sparcontrol/delta.go
@@ -8,21 +8,21 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// maxShare is the largest share in bytes, uncompressed: several times the settings of a
+// maxDelta is the largest delta in bytes, uncompressed: several times the settings of a
 // large fleet, yet small enough for the memory of a small VM.
-const maxShare = 16 << 20
+const maxDelta = 16 << 20
 
-// EncodeShare encodes and compresses a delta or full copy of a registry. The entries of
+// EncodeDelta encodes and compresses a delta or full copy of a registry. The entries of
 // a fleet are alike, so they compress to a fraction of their size.
-func EncodeShare(s sparregistry.Delta) []byte {
+func EncodeDelta(d sparregistry.Delta) []byte {
 	return s2.Encode(nil, marshal(&Share{
-		After: s.After, Entries: convert(s.Entries, fromEntry), Base: s.Base, Revision: s.Revision, Synced: s.Synced,
+		After: d.After, Entries: convert(d.Entries, fromEntry), Base: d.Base, Revision: d.Revision, Synced: d.Synced,
 	}))
 }
 
-// DecodeShare decodes the output of EncodeShare. It returns an error if the bytes are
+// DecodeDelta decodes the output of EncodeDelta. It returns an error if the bytes are
 // damaged or decompress to more than maxShare.
-func DecodeShare(b []byte) (s sparregistry.Delta, err error) {
+func DecodeDelta(b []byte) (d sparregistry.Delta, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotate(err, "share")
@@ -32,8 +32,8 @@
 	if err != nil {
 		return sparregistry.Delta{}, err
 	}
-	if size > maxShare {
-		return sparregistry.Delta{}, errors.Errorf("%d bytes, expected at most %d", size, maxShare)
+	if size > maxDelta {
+		return sparregistry.Delta{}, errors.Errorf("%d bytes, expected at most %d", size, maxDelta)
 	}
 	plain, err := s2.Decode(nil, b)
 	if err != nil {
--- a/internal/peer/sparcontrol/fuzz_test.go
+++ b/internal/peer/sparcontrol/fuzz_test.go
@@ -15,7 +15,7 @@
 // name and no negative age, which would be a time in the future.
 func FuzzDecode(f *testing.F) {
 	vm := sparconfig.VM{Name: "vm-1", Domain: "north", Data: "10.1.0.1:1", Control: "10.1.0.1:2"}
-	f.Add(sparcontrol.EncodeNotice(sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
+	f.Add(sparcontrol.EncodeNotification(sparsync.Notification{From: vm, Reader: "vm-2", Round: 3, Revision: 4, Digest: 5, Age: time.Second}))
 	f.Add(sparcontrol.EncodeQuery(sparsync.Query{From: vm, Synced: true, Age: time.Second, Outages: []sparsync.Outage{{VM: "vm-3", Age: time.Second}}}))
 	f.Add(sparcontrol.EncodeReceipt(vm))
 	f.Add(sparcontrol.EncodeDeparture(sparleave.Departure{From: "vm-1", Refusing: true}))
@@ -25,11 +25,11 @@
 			return
 		}
 		switch in := in.(type) {
-		case sparcontrol.Told:
-			if in.Notice.From.Name == "" || in.Notice.Age < 0 {
+		case sparcontrol.ReceivedNotification:
+			if in.Notification.From.Name == "" || in.Notification.Age < 0 {
 				t.Errorf("%+v", in)
 			}
-		case sparcontrol.Asked:
+		case sparcontrol.ReceivedQuery:
 			if in.Query.From.Name == "" || in.Query.Age < 0 {
 				t.Errorf("%+v", in)
 			}
@@ -42,13 +42,13 @@
 	})
 }
 
-// FuzzDecodeShare decodes damaged shares and merges those that are accepted.
-func FuzzDecodeShare(f *testing.F) {
-	f.Add(sparcontrol.EncodeShare(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
+// FuzzDecodeDelta decodes damaged deltas and merges those that are accepted.
+func FuzzDecodeDelta(f *testing.F) {
+	f.Add(sparcontrol.EncodeDelta(sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
 	}, 6).Delta(0)))
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		s, err := sparcontrol.DecodeShare(b)
+		s, err := sparcontrol.DecodeDelta(b)
 		if err == nil {
 			sparregistry.Registry{}.WithDelta(s)
 		}
--- a/internal/peer/sparcontrol/notice.go
+++ b/internal/peer/sparcontrol/notification.go
@@ -14,29 +14,29 @@
 const maxAge = 10 * 365 * 24 * time.Hour
 
 type (
-	// Told is a peer's notification about its settings.
-	Told struct {
-		Notice sparsync.Notification
+	// ReceivedNotification is a peer's notification about its settings.
+	ReceivedNotification struct {
+		Notification sparsync.Notification
 	}
 
-	// Received is a peer's receipt for a notification.
-	Received struct {
+	// ReceivedReceipt is a peer's receipt for a notification.
+	ReceivedReceipt struct {
 		From sparconfig.VM
 	}
 
-	// Departed is a peer's notification that it is stopping.
-	Departed struct {
+	// ReceivedDeparture is a peer's notification that it is stopping.
+	ReceivedDeparture struct {
 		Departure sparleave.Departure
 	}
 
-	// Asked is a peer's query whether this VM has more recent settings.
-	Asked struct {
+	// ReceivedQuery is a peer's query whether this VM has more recent settings.
+	ReceivedQuery struct {
 		Query sparsync.Query
 	}
 )
 
-// EncodeNotice encodes a notification as a datagram.
-func EncodeNotice(n sparsync.Notification) []byte {
+// EncodeNotification encodes a notification as a datagram.
+func EncodeNotification(n sparsync.Notification) []byte {
 	return marshal(&Datagram{Body: &Datagram_Notice{Notice: &Notice{
 		From: FromVM(n.From), Reader: n.Reader, Round: n.Round,
 		Revision: n.Revision, Digest: n.Digest, Age: uint64(n.Age.Microseconds()),
@@ -48,19 +48,19 @@
 	return marshal(&Datagram{Body: &Datagram_Receipt{Receipt: &Receipt{From: &VM{Name: from.Name}}}})
 }
 
-func decodeNotice(n *Notice) (t Told, err error) {
+func decodeNotification(n *Notice) (in ReceivedNotification, err error) {
 	vm := n.GetFrom().ToVM()
 	if err := sparconfig.CheckName(vm.Name); err != nil {
-		return Told{}, err
+		return ReceivedNotification{}, err
 	}
 	if err := vm.Check(); err != nil {
-		return Told{}, err
+		return ReceivedNotification{}, err
 	}
 	if n.Reader == "" || n.Round == 0 {
-		return Told{}, errors.New("notice without a reader")
+		return ReceivedNotification{}, errors.New("notice without a reader")
 	}
 	age, err := ToAge(n.Age)
-	return Told{Notice: sparsync.Notification{
+	return ReceivedNotification{Notification: sparsync.Notification{
 		From: vm, Reader: n.Reader, Round: n.Round, Revision: n.Revision, Digest: n.Digest, Age: age,
 	}}, err
 }
@@ -83,27 +83,27 @@
 	}}})
 }
 
-func decodeQuery(q *Query) (a Asked, err error) {
+func decodeQuery(q *Query) (in ReceivedQuery, err error) {
 	vm := q.GetFrom().ToVM()
 	if err := sparconfig.CheckName(vm.Name); err != nil {
-		return Asked{}, err
+		return ReceivedQuery{}, err
 	}
 	if err := vm.Check(); err != nil {
-		return Asked{}, err
+		return ReceivedQuery{}, err
 	}
 	age, err := ToAge(q.Age)
 	if err != nil {
-		return Asked{}, err
+		return ReceivedQuery{}, err
 	}
-	a = Asked{Query: sparsync.Query{From: vm, Synced: q.Synced, Age: age}}
+	in = ReceivedQuery{Query: sparsync.Query{From: vm, Synced: q.Synced, Age: age}}
 	for _, o := range q.Outages {
 		outageAge, err := ToAge(o.Age)
 		if err != nil {
-			return Asked{}, err
+			return ReceivedQuery{}, err
 		}
-		a.Query.Outages = append(a.Query.Outages, sparsync.Outage{VM: o.Vm, Age: outageAge})
+		in.Query.Outages = append(in.Query.Outages, sparsync.Outage{VM: o.Vm, Age: outageAge})
 	}
-	return a, nil
+	return in, nil
 }
 
 func fromOutage(o sparsync.Outage) *Outage {
@@ -115,6 +115,6 @@
 	return marshal(&Datagram{Body: &Datagram_Departure{Departure: &Departure{From: d.From, Refusing: d.Refusing}}})
 }
 
-func decodeDeparture(d *Departure) (out Departed, err error) {
-	return Departed{Departure: sparleave.Departure{From: d.From, Refusing: d.Refusing}}, sparconfig.CheckName(d.From)
+func decodeDeparture(d *Departure) (in ReceivedDeparture, err error) {
+	return ReceivedDeparture{Departure: sparleave.Departure{From: d.From, Refusing: d.Refusing}}, sparconfig.CheckName(d.From)
 }
--- a/internal/peer/sparcontrol/survey.go
+++ b/internal/peer/sparcontrol/survey.go
@@ -12,18 +12,18 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparconfig"
 )
 
-// SurveyWait is the timeout of a survey, so that a status query returns within a second.
-const SurveyWait = 600 * time.Millisecond
+// SurveyTimeout is the timeout of a survey, so that a status query returns within a second.
+const SurveyTimeout = 600 * time.Millisecond
 
 // Dial returns a client for the VM at a control address. It doesn't connect yet.
 func Dial(control string, client *http.Client) Control {
 	return NewControlProtobufClient("http://"+control, client)
 }
 
-// AskAll queries the facts of vms and adds them to own, those of this VM. A VM is listed
+// QueryAll queries the facts of vms and adds them to own, those of this VM. A VM is listed
 // as silent if no response with the id and VM name of the query arrives in time.
-func AskAll(ctx context.Context, own *FactsReply, vms []sparconfig.VM, client *http.Client) *SurveyReply {
-	ctx, cancel := context.WithTimeout(ctx, SurveyWait)
+func QueryAll(ctx context.Context, own *FactsReply, vms []sparconfig.VM, client *http.Client) *SurveyReply {
+	ctx, cancel := context.WithTimeout(ctx, SurveyTimeout)
 	defer cancel()
 	reply := &SurveyReply{Id: own.Id, Answered: []*FactsReply{own}}
 	var mu sync.Mutex
@@ -44,9 +44,9 @@
 	return reply
 }
 
-// FromEvents returns the reply to r of the VM called vm: those of events that match the
+// NewEventsReply returns the reply to r of the VM called vm: those of events that match the
 // requested service or belong to no service, and the other VMs to query.
-func FromEvents(r *EventsRequest, vm string, events []spartimeline.Event, others []sparconfig.VM) *EventsReply {
+func NewEventsReply(r *EventsRequest, vm string, events []spartimeline.Event, others []sparconfig.VM) *EventsReply {
 	reply := &EventsReply{Id: r.Id, Vm: vm}
 	for _, e := range events {
 		if r.Service == "" || e.Service == "" || e.Service == r.Service {
--- a/internal/peer/sparstream/stream.go
+++ b/internal/peer/sparstream/stream.go
@@ -7,7 +7,7 @@
 //	s := sparstream.New[string](1, now)
 //	s.Queue("hello")
 //	for _, frame := range s.Due(now) {
-//		// send frame; the other end passes it to Take and replies with frames of its own
+//		// send frame; the other end passes it to Receive and replies with frames of its own
 //	}
 //
 // Each frame acknowledges the frames received in the other direction. A stream belongs
@@ -97,9 +97,9 @@
 	return frames
 }
 
-// Take processes a received frame. It returns the body, and true, if the frame is the next
+// Receive processes a received frame. It returns the body, and true, if the frame is the next
 // in order. It drops others; the other end resends those not yet acknowledged.
-func (s *Stream[T]) Take(f Frame[T]) (body T, ok bool) {
+func (s *Stream[T]) Receive(f Frame[T]) (body T, ok bool) {
 	if f.Pair != s.in {
 		return body, false
 	}
--- a/internal/peer/sparstream/stream_test.go
+++ b/internal/peer/sparstream/stream_test.go
@@ -13,11 +13,11 @@
 	here, there := sparstream.New[string](1, 2), sparstream.New[string](2, 1)
 	here.Queue("hello")
 	for _, frame := range here.Due(0) {
-		body, ok := there.Take(frame)
+		body, ok := there.Receive(frame)
 		fmt.Println(body, ok)
 	}
 	for _, frame := range there.Due(0) {
-		here.Take(frame)
+		here.Receive(frame)
 	}
 	fmt.Println(here.Acked(), here.Pending())
 	// Output:
@@ -46,7 +46,7 @@
 			case 1:
 				late = append(late, f, f)
 			default:
-				if body, ok := b.Take(f); ok {
+				if body, ok := b.Receive(f); ok {
 					if body != next {
 						t.Fatalf("message %d arrived, want %d", body, next)
 					}
@@ -56,7 +56,7 @@
 		}
 		for _, f := range b.Due(now) {
 			if rng.IntN(4) > 0 {
-				a.Take(f)
+				a.Receive(f)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 func TestFrameOfAnotherIncarnationIsIgnored(t *testing.T) {
 	old, restarted := sparstream.New[string](1, 2), sparstream.New[string](3, 1)
 	old.Queue("to the previous incarnation")
-	if _, ok := restarted.Take(old.Due(0)[0]); ok {
+	if _, ok := restarted.Receive(old.Due(0)[0]); ok {
 		t.Error("the frame was accepted")
 	}
 }
--- a/internal/vm/sparentry/control.go
+++ b/internal/vm/sparentry/control.go
@@ -29,7 +29,7 @@
 	requestTimeout = 5 * time.Second
 	// drainTimeout is how long accepted requests may still run once the fabric sends nothing
 	// more to this VM. It covers a survey, the longest request.
-	drainTimeout = sparcontrol.SurveyWait + 100*time.Millisecond
+	drainTimeout = sparcontrol.SurveyTimeout + 100*time.Millisecond
 	idleTimeout  = time.Minute
 	maxRequest   = 1 << 16 // bytes; a request usually has a few dozen
 	maxDatagram  = 1 << 16
@@ -149,6 +149,6 @@
 	if err != nil {
 		return pulled{pull: p, err: err}
 	}
-	delta, err := sparcontrol.DecodeShare(reply.Share)
+	delta, err := sparcontrol.DecodeDelta(reply.Share)
 	return pulled{pull: p, reply: reply, age: age, delta: delta, err: err}
 }
--- a/internal/vm/sparentry/handler.go
+++ b/internal/vm/sparentry/handler.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	if a.reply.Synced && !a.reply.Busy && a.reply.Share == nil {
-		a.reply.Share = sparcontrol.EncodeShare(a.delta)
+		a.reply.Share = sparcontrol.EncodeDelta(a.delta)
 		h.vm.deltas.put(a.key, a.reply.Share)
 	}
 	return a.reply, nil
@@ -59,13 +59,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return sparcontrol.AskAll(ctx, own, others, surveyClient), nil
+	return sparcontrol.QueryAll(ctx, own, others, surveyClient), nil
 }
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
 	return sparring.Query(ctx, h.vm.queries, func(vm *VM) *sparcontrol.EventsReply {
-		return sparcontrol.FromEvents(r, vm.file.Name, vm.timeline.Since(spartimeline.Stamp(r.Since)), vm.engine.Roster().VMs)
+		return sparcontrol.NewEventsReply(r, vm.file.Name, vm.timeline.Since(spartimeline.Stamp(r.Since)), vm.engine.Roster().VMs)
 	})
 }
 
--- a/internal/vm/sparentry/pull_test.go
+++ b/internal/vm/sparentry/pull_test.go
@@ -37,7 +37,7 @@
 			if err != nil || reply.Busy {
 				return false
 			}
-			if delta, err := sparcontrol.DecodeShare(reply.Share); err != nil || len(delta.Entries) == 0 {
+			if delta, err := sparcontrol.DecodeDelta(reply.Share); err != nil || len(delta.Entries) == 0 {
 				t.Fatalf("delta %+v, error %v", delta, err)
 			}
 		}
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -70,13 +70,13 @@
 
 func (vm *VM) receive(datagram sparcontrol.Input, now time.Duration) {
 	switch d := datagram.(type) {
-	case sparcontrol.Told:
-		vm.perform(vm.sync.Notified(d.Notice, now), now)
-	case sparcontrol.Asked:
+	case sparcontrol.ReceivedNotification:
+		vm.perform(vm.sync.Notified(d.Notification, now), now)
+	case sparcontrol.ReceivedQuery:
 		vm.perform(vm.sync.Queried(d.Query, now), now)
-	case sparcontrol.Departed:
+	case sparcontrol.ReceivedDeparture:
 		vm.leave.Received(d.Departure, now)
-	case sparcontrol.Received:
+	case sparcontrol.ReceivedReceipt:
 		vm.sync.Confirmed(d.From, now)
 	default:
 		vm.metrics.badControl.Add(1) // a message used only by VMs of another carrier
@@ -143,7 +143,7 @@
 		case sparsync.SendQuery:
 			vm.sendControl(out.To, sparcontrol.EncodeQuery(out.Query))
 		case sparsync.Notify:
-			vm.sendControl(out.To, sparcontrol.EncodeNotice(out.Notification))
+			vm.sendControl(out.To, sparcontrol.EncodeNotification(out.Notification))
 		case sparsync.Register:
 			vm.registerOthers(out.VMs)
 		case sparsync.Deregister:
--- a/internal/vm/sparnode/status_test.go
+++ b/internal/vm/sparnode/status_test.go
@@ -64,7 +64,7 @@
 			if requester == nil || requester.stopped || requester.frozen {
 				continue
 			}
-			r := sparstatus.Judge(l.survey(requester))
+			r := sparstatus.FromSurvey(l.survey(requester))
 			for _, line := range l.falseLines(r) {
 				wrong++
 				t.Errorf("seed %d, read %d: %s", 200+seed, i, line)
--- a/internal/vm/sparnode/streams.go
+++ b/internal/vm/sparnode/streams.go
@@ -15,7 +15,7 @@
 		return
 	}
 	before := s.Acked()
-	body, ok := s.Take(m.Frame)
+	body, ok := s.Receive(m.Frame)
 	if ok {
 		n.Engine.Receive(m.Name, body)
 	}
--- a/internal/vm/sparserver/calls.go
+++ b/internal/vm/sparserver/calls.go
@@ -111,5 +111,5 @@
 	if err != nil {
 		return sparregistry.Delta{}, err
 	}
-	return sparcontrol.DecodeShare(reply.Share)
+	return sparcontrol.DecodeDelta(reply.Share)
 }
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &sparcontrol.PullReply{Share: sparcontrol.EncodeShare(delta), Synced: delta.Synced}, nil
+	return &sparcontrol.PullReply{Share: sparcontrol.EncodeDelta(delta), Synced: delta.Synced}, nil
 }
 
 // Facts implements Control. The reply has the id of its request.
@@ -73,12 +73,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return sparcontrol.AskAll(ctx, own, others, h.server.metrics.countBytes(http.DefaultTransport)), nil
+	return sparcontrol.QueryAll(ctx, own, others, h.server.metrics.countBytes(http.DefaultTransport)), nil
 }
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
 	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
-		return sparcontrol.FromEvents(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
+		return sparcontrol.NewEventsReply(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
 	})
 }
