--- a/internal/vm/sparnode/change_test.go
+++ b/internal/vm/sparnode/change_test.go
@@ -47,7 +47,7 @@
 	vm.node.Stop()
 	for range 20 {
 		l.exchange(flows, 500*time.Millisecond)
-		if vm.node.Drained() {
+		if vm.node.HandedOver() {
 			break
 		}
 	}
--- a/internal/vm/sparnode/failure_test.go
+++ b/internal/vm/sparnode/failure_test.go
@@ -230,7 +230,7 @@
 	}
 	l.serve("booking", l.drained(d, upstreamAt(1, 3)))
 	l.run(2 * time.Second)
-	vm.node.Reading(entries, old)
+	vm.node.MergeRead(entries, old)
 	u, _ := vm.node.Snapshot().Service("team/booking").Upstream(endpoint(upstreamAt(1, 3)))
 	if !u.Draining || vm.node.Facts().Revision < l.revision {
 		t.Errorf("reverted to revision %d", vm.node.Facts().Revision)
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -186,7 +186,7 @@
 		default:
 			vm.node.Advance(l.now, l.wall())
 			w.deliver(vm)
-			l.perform(vm, vm.node.Drain())
+			l.perform(vm, vm.node.Effects())
 		}
 	}
 }
@@ -207,7 +207,7 @@
 			entries = append(entries, e)
 		}
 		revision := l.revision
-		l.send("platform", vm.name, l.settingsDelay(vm.name), func(vm *labVM) { vm.node.Reading(entries, revision) })
+		l.send("platform", vm.name, l.settingsDelay(vm.name), func(vm *labVM) { vm.node.MergeRead(entries, revision) })
 	}
 }
 
--- a/internal/vm/sparnode/node.go
+++ b/internal/vm/sparnode/node.go
@@ -179,8 +179,8 @@
 	n.addEvent(sparroute.Event{Kind: "leaving"})
 }
 
-// Drained reports whether a stopping VM has handed everything over.
-func (n *Node) Drained() bool {
+// HandedOver reports whether a stopping VM has handed everything over.
+func (n *Node) HandedOver() bool {
 	decided, waiting := n.Engine.Owned()
 	if decided+waiting > 0 && len(n.Tracker.Live(n.now)) > 0 {
 		return false
@@ -209,11 +209,11 @@
 	outs = append(outs, n.pulls()...)
 	outs = append(outs, n.sweeps()...)
 	outs = append(outs, n.frames()...)
-	return append(outs, n.Drain()...)
+	return append(outs, n.Effects()...)
 }
 
-// Drain returns the outputs that result from effects of the engine since the last call.
-func (n *Node) Drain() []Output {
+// Effects returns the outputs that result from effects of the engine since the last call.
+func (n *Node) Effects() []Output {
 	var outs []Output
 	for _, effect := range n.Engine.Effects() {
 		switch effect := effect.(type) {
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -7,8 +7,8 @@
 	"github.com/oleanderspar/oleanderspar/internal/settings/sparregistry"
 )
 
-// Reading merges a full read of the platform.
-func (n *Node) Reading(entries []sparregistry.Entry, revision uint64) {
+// MergeRead merges a full read of the platform.
+func (n *Node) MergeRead(entries []sparregistry.Entry, revision uint64) {
 	n.setRegistry(n.registry.WithFullRead(entries, revision))
 }
 
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -146,7 +146,7 @@
 	default:
 		s.buffers.Put(p)
 	}
-	s.perform(s.node.Drain())
+	s.perform(s.node.Effects())
 }
 
 // route returns the verdict on a packet. A packet from an upstream of a service is on its
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -201,7 +201,7 @@
 			s.tick()
 			switch {
 			case stopped.IsZero():
-			case drained.IsZero() && (s.node.Drained() || time.Since(stopped) > handoverTimeout):
+			case drained.IsZero() && (s.node.HandedOver() || time.Since(stopped) > handoverTimeout):
 				drained = time.Now()
 			case !drained.IsZero() && time.Since(drained) > forwardAfter:
 				s.log.Info("handed over")
@@ -229,12 +229,12 @@
 	case platformInput:
 		s.reached = in.err == nil
 		if in.err == nil {
-			s.node.Reading(in.listing.Entries, in.listing.Revision)
+			s.node.MergeRead(in.listing.Entries, in.listing.Revision)
 		}
 	case pullInput:
 		s.node.Merge(in.delta)
 	}
-	s.perform(s.node.Drain())
+	s.perform(s.node.Effects())
 }
 
 func (s *Server) tick() {
