--- a/internal/vm/sparentry/log.go
+++ b/internal/vm/sparentry/log.go
@@ -186,12 +186,12 @@
 	}
 }
 
-func (vm *VM) logUnregister(name string, revision uint64) {
+func (vm *VM) logDeregister(name string, revision uint64) {
 	vm.log.WithFields(logrus.Fields{"silent": name, "revision": revision, "age_ms": vm.age.Milliseconds()}).Warn("VM silent for long, its entry is taken out")
 	vm.addEvent("unlisted", "", name, 0)
 }
 
-func (vm *VM) logUnregistered(key string, err error) {
+func (vm *VM) logDeregistered(key string, err error) {
 	fields := logrus.Fields{"key": key, "outcome": "done"}
 	if err != nil {
 		fields["outcome"] = shortError(err)
--- a/internal/vm/sparentry/register.go
+++ b/internal/vm/sparentry/register.go
@@ -14,10 +14,10 @@
 const (
 	// registerEvery is the minimum time between two attempts to register this VM.
 	registerEvery = time.Second
-	// seedTimeout is how long a VM waits for the seeds that it has queried to register it.
-	// It covers their next read round, the write, and a read at a small site. Late
-	// registration does little harm: until then a VM queries others for settings.
-	seedTimeout = 4 * time.Second
+	// seedRegisterTimeout is how long a VM waits for the seeds that it has queried to
+	// register it. It covers their next read round, the write, and a read at a small site.
+	// Late registration does little harm: until then a VM queries others for settings.
+	seedRegisterTimeout = 4 * time.Second
 )
 
 type (
@@ -89,7 +89,7 @@
 // awaitsSeeds reports whether the seeds still have time to register this VM.
 func (vm *VM) awaitsSeeds(now time.Duration) bool {
 	seed := len(vm.file.Seeds) == 0 || slices.Contains(vm.file.Seeds, vm.file.Control)
-	return !seed && now < seedTimeout
+	return !seed && now < seedRegisterTimeout
 }
 
 // registerOthers registers VMs that have started recently and have no entry yet.
@@ -108,12 +108,12 @@
 	}
 }
 
-// unregister removes the entry of a VM that has been silent for long from the platform. The
+// deregister removes the entry of a VM that has been silent for long from the platform. The
 // write fails if the entry has changed since it was read.
-func (vm *VM) unregister(name string) {
+func (vm *VM) deregister(name string) {
 	e, ok := vm.registry.Get(sparroster.VMPrefix + name)
 	if ok && vm.writes.Put(removal{e}) {
-		vm.logUnregister(name, e.Revision)
+		vm.logDeregister(name, e.Revision)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (vm *VM) writeDone(w wrote) {
 	switch done := w.write.(type) {
 	case removal:
-		vm.logUnregistered(done.entry.Key, w.err)
+		vm.logDeregistered(done.entry.Key, w.err)
 	case newEntries:
 		vm.logOthersRegistered(done, w.err)
 	case ownEntry:
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -147,7 +147,7 @@
 		case sparsync.Register:
 			vm.registerOthers(out.VMs)
 		case sparsync.Deregister:
-			vm.unregister(out.Name)
+			vm.deregister(out.Name)
 		case sparsync.Confirm:
 			vm.sendControl(out.To, sparcontrol.EncodeReceipt(vm.file.VM()))
 		}
