--- a/internal/proof/sparsoak/faults.go
+++ b/internal/proof/sparsoak/faults.go
@@ -58,8 +58,8 @@
 
 // endFaults ends all active faults.
 func (t *testbed) endFaults() {
-	t.store.Fault(sparfake.Sound)
-	t.store.Slow(0)
+	t.store.SetFault(sparfake.NoFault)
+	t.store.SetDelay(0)
 	for _, v := range t.vms {
 		v.signal(syscall.SIGCONT)
 		v.proxy.setMode(passThrough)
@@ -139,9 +139,9 @@
 	f := []sparfake.Fault{sparfake.Refuses, sparfake.Busy, sparfake.Resets, sparfake.Silent, sparfake.LosesResponses, sparfake.Garbles}[t.rng.intN(6)]
 	defer t.faultLog.begin(storeParty)()
 	t.reportFault("store fault %d for %v", f, d)
-	t.store.Fault(f)
+	t.store.SetFault(f)
 	sleep(ctx, d)
-	t.store.Fault(sparfake.Sound)
+	t.store.SetFault(sparfake.NoFault)
 }
 
 // drainUpstream replaces an upstream: a new one starts, then the old one announces its drain,
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -74,7 +74,7 @@
 	// Store is what a VM needs of the platform.
 	Store interface {
 		// List reads all entries, linearizably.
-		List(ctx context.Context) (platform.Snapshot, error)
+		List(ctx context.Context) (platform.Listing, error)
 		// VMs reads the registered VMs, linearizably.
 		VMs(ctx context.Context) ([]sparconfig.VM, error)
 		// Revision reads the revision of the platform, linearizably.
--- a/internal/vm/sparentry/entry_test.go
+++ b/internal/vm/sparentry/entry_test.go
@@ -34,7 +34,7 @@
 	eventually(t, "ready", v.ready)
 	v.send(syn(serviceAddr))
 	got := s.receive()
-	if len(got) != platform.TagBytes+platform.HeadBytes || binary.BigEndian.Uint64(got) != 0x7f3a {
+	if len(got) != platform.TagBytes+platform.HeaderBytes || binary.BigEndian.Uint64(got) != 0x7f3a {
 		t.Fatalf("datagram %x", got)
 	}
 	segment, err := platform.Parse(got[platform.TagBytes:])
@@ -50,7 +50,7 @@
 // TestEarlyPacketsAreQueued sends a SYN before the VM has settings.
 func TestEarlyPacketsAreQueued(t *testing.T) {
 	s := newSite(t)
-	s.fake.Slow(300 * time.Millisecond)
+	s.fake.SetDelay(300 * time.Millisecond)
 	v := s.start("vm-1")
 	v.send(syn(serviceAddr))
 	if v.ready() {
@@ -75,7 +75,7 @@
 	_ = client.SetReadDeadline(time.Now().Add(timeout))
 	got := make([]byte, 100)
 	n, err := client.Read(got)
-	if err != nil || n != platform.HeadBytes || got[30] != 16 {
+	if err != nil || n != platform.HeaderBytes || got[30] != 16 {
 		t.Errorf("%x, error %v, want a reset", got[:n], err)
 	}
 	eventually(t, "a log line for the refusal", func() bool {
@@ -152,11 +152,11 @@
 	s := newSite(t)
 	first := s.start("vm-1")
 	eventually(t, "ready", first.ready)
-	s.fake.Fault(sparfake.Resets)
+	s.fake.SetFault(sparfake.Resets)
 	second := s.start("vm-2", first.file.Control)
 	eventually(t, "ready without the platform", second.ready)
 	eventually(t, "a log line for the lost dependency", func() bool { _, ok := second.log.find("dependency lost"); return ok })
-	s.fake.Fault(sparfake.Sound)
+	s.fake.SetFault(sparfake.NoFault)
 	eventually(t, "a log line for the regained dependency", func() bool { _, ok := second.log.find("dependency regained"); return ok })
 }
 
@@ -182,11 +182,11 @@
 	s := newSite(t)
 	v := s.start("vm-1")
 	eventually(t, "ready", v.ready)
-	s.fake.Fault(sparfake.Refuses)
+	s.fake.SetFault(sparfake.Refuses)
 	eventually(t, "the outage is noticed", func() bool { _, ok := v.log.find("dependency lost"); return ok })
 	s.fake.Remove(s.key)
 	s.route(4)
-	s.fake.Fault(sparfake.Sound)
+	s.fake.SetFault(sparfake.NoFault)
 	eventually(t, "the missing upstream is kept", func() bool {
 		_, ok := v.log.find("missing upstreams kept while the platform settles")
 		return ok
@@ -223,19 +223,19 @@
 			return strings.Contains(v.log.text.String(), fmt.Sprintf(`"version":%d`, version))
 		}
 	}
-	served := s.fake.Served()
+	served := s.fake.BytesServed()
 	s.route(4)
 	eventually(t, "version 4", has(4))
-	if more := s.fake.Served() - served; more > 20_000 {
+	if more := s.fake.BytesServed() - served; more > 20_000 {
 		t.Errorf("%d bytes read for one change, want less than a full read", more)
 	}
-	s.fake.Fault(sparfake.Hides)
+	s.fake.SetFault(sparfake.HidesLatest)
 	s.route(5)
 	eventually(t, "version 5 although the platform omits the change", has(5))
 	if _, ok := v.log.find("changes incomplete, everything is read"); !ok {
 		t.Error("no log line for omitted changes")
 	}
-	s.fake.Fault(sparfake.Sound)
+	s.fake.SetFault(sparfake.NoFault)
 	s.fake.Compact()
 	s.route(6)
 	eventually(t, "version 6 although the history was dropped", has(6))
--- a/internal/vm/sparentry/read.go
+++ b/internal/vm/sparentry/read.go
@@ -36,7 +36,7 @@
 
 	// fullRead is the whole content of the platform.
 	fullRead struct {
-		platform.Snapshot
+		platform.Listing
 	}
 
 	// incrementalRead is the changes until the platform reached a revision.
--- a/internal/vm/sparentry/site_test.go
+++ b/internal/vm/sparentry/site_test.go
@@ -156,7 +156,7 @@
 
 // syn returns a SYN from a client on loopback to an address.
 func syn(to sparflow.Endpoint) []byte {
-	b := make([]byte, platform.HeadBytes)
+	b := make([]byte, platform.HeaderBytes)
 	binary.BigEndian.PutUint32(b[4:], to.IP())
 	binary.BigEndian.PutUint16(b[8:], 40001)
 	binary.BigEndian.PutUint16(b[10:], to.Port())
--- a/internal/vm/sparentry/status_test.go
+++ b/internal/vm/sparentry/status_test.go
@@ -34,7 +34,7 @@
 	s.fake.Put(sparfake.ServerPrefix+"i-bad", []byte("{}"))
 	eventually(t, "an invalid entry is reported", has("call service upstream/i-bad"))
 
-	s.fake.Fault(sparfake.Refuses)
+	s.fake.SetFault(sparfake.Refuses)
 	eventually(t, "the platform is unreachable", has("platform unknown, the last call of every VM failed"))
 	second.stop()
 	eventually(t, "a VM leaves", has("vm vm-2 answered as leaving"))
