--- a/internal/operator/spardemo/demo.go
+++ b/internal/operator/spardemo/demo.go
@@ -48,15 +48,15 @@
 
 	// demo is one run.
 	demo struct {
-		cfg      Config
-		out      io.Writer
-		site     *sparsite.Site
-		services []*service
-		client   *sparhost.Caller
-		flows    []*flow
-		requests atomic.Int64
-		answered atomic.Int64 // by the service and upstream of the flow
-		wrong    atomic.Int64 // answered by another service
+		cfg       Config
+		out       io.Writer
+		site      *sparsite.Site
+		services  []*service
+		client    *sparhost.Client
+		flows     []*flow
+		requests  atomic.Int64
+		answered  atomic.Int64 // by the service and upstream of the flow
+		misrouted atomic.Int64 // answered by another service
 	}
 
 	// flow is one connection, whose service and upstream must not change.
@@ -115,7 +115,7 @@
 	if _, err := d.site.StartVM("vm-5", "north"); err != nil {
 		return err
 	}
-	if err := d.site.Leave(d.site.VMs()[0]); err != nil {
+	if err := d.site.StopVM(d.site.VMs()[0]); err != nil {
 		return err
 	}
 	d.request(ctx)
@@ -140,7 +140,7 @@
 		}
 		d.serve(s, "")
 	}
-	d.client, err = sparhost.NewCaller(d.site.Fabric.Address())
+	d.client, err = sparhost.NewClient(d.site.Fabric.Address())
 	return err
 }
 
@@ -184,14 +184,14 @@
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		id := fmt.Sprintf("request-%d", d.requests.Add(1))
-		answer, err := f.conn.Ask(ctx, id)
+		response, err := f.conn.Do(ctx, id)
 		switch {
 		case err != nil:
 			f.broken.Store(true)
-		case answer.Service != f.service.name:
-			d.wrong.Add(1)
-		case answer.ID == id && (f.upstream == "" || f.upstream == answer.Upstream):
-			f.upstream = answer.Upstream
+		case response.Service != f.service.name:
+			d.misrouted.Add(1)
+		case response.ID == id && (f.upstream == "" || f.upstream == response.Upstream):
+			f.upstream = response.Upstream
 			d.answered.Add(1)
 		default:
 			f.broken.Store(true)
@@ -216,7 +216,7 @@
 			broken++
 		}
 	}
-	wrong := d.wrong.Load()
+	misrouted := d.misrouted.Load()
 	most, total := 0, 0
 	for _, server := range d.services[0].servers {
 		stats := server.Stats()
@@ -225,20 +225,20 @@
 	}
 	for _, s := range d.services {
 		for _, server := range s.servers {
-			wrong += int64(server.Stats().Wrong)
+			misrouted += int64(server.Stats().Misrouted)
 		}
 	}
 	table := tabwriter.NewWriter(d.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "\nrequests\twhole answers\tbroken flows\twrong service\tbooking max/mean load\n")
-	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.2f\n\n", d.requests.Load(), d.answered.Load(), broken, wrong,
+	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.2f\n\n", d.requests.Load(), d.answered.Load(), broken, misrouted,
 		float64(most)*float64(len(d.services[0].servers))/float64(max(total, 1)))
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	status := sparstatus.Read(ctx, []string{d.site.VMs()[0].File.Control})
 	fmt.Fprint(d.out, status.Text())
-	if broken > 0 || wrong > 0 {
-		return errors.Errorf("%d flows broken, %d requests reached another service", broken, wrong)
+	if broken > 0 || misrouted > 0 {
+		return errors.Errorf("%d flows broken, %d requests reached another service", broken, misrouted)
 	}
 	return nil
 }
--- a/internal/proof/sparprocess/site_test.go
+++ b/internal/proof/sparprocess/site_test.go
@@ -95,7 +95,7 @@
 	servers[0].Shed(true)
 	site.Serve("kalkkirinne", "booking", d)
 	time.Sleep(time.Second)
-	client, err := sparhost.NewCaller(site.Fabric.Address())
+	client, err := sparhost.NewClient(site.Fabric.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 			from := sparflow.MakeEndpoint(0xCB007101, uint16(10000+round*flows+i))
 			conn, err := client.Open(ctx, from, address, "booking")
 			if err == nil {
-				_, err = conn.Ask(ctx, id)
+				_, err = conn.Do(ctx, id)
 			}
 			cancel()
 			n := runs(id)
--- a/internal/stand/sparhost/caller.go
+++ b/internal/stand/sparhost/client.go
@@ -24,17 +24,17 @@
 )
 
 type (
-	// Caller is a client host that opens connections. Use NewCaller.
-	Caller struct {
+	// Client is a client host that opens connections. Use NewClient.
+	Client struct {
 		link *link
 
 		mu    sync.Mutex
 		conns map[sparflow.Endpoint]*Conn
 	}
 
-	// Conn is one connection of a Caller.
+	// Conn is one connection of a Client.
 	Conn struct {
-		caller  *Caller
+		client  *Client
 		from    sparflow.Endpoint
 		service sparflow.Endpoint
 		name    string
@@ -43,38 +43,38 @@
 		ack     uint32
 	}
 
-	// Answer is the response of an upstream to a request.
-	Answer struct {
+	// Response is the response of an upstream to a request.
+	Response struct {
 		Service  string
 		Upstream string
 		ID       string
 	}
 )
 
-// NewCaller starts a client behind the fabric.
-func NewCaller(fabric netip.AddrPort) (c *Caller, err error) {
+// NewClient starts a client behind the fabric.
+func NewClient(fabric netip.AddrPort) (c *Client, err error) {
 	l, err := newLink(fabric)
 	if err != nil {
 		return nil, err
 	}
-	c = &Caller{link: l, conns: map[sparflow.Endpoint]*Conn{}}
+	c = &Client{link: l, conns: map[sparflow.Endpoint]*Conn{}}
 	go l.run(c.receive)
 	return c, nil
 }
 
 // Close drops every connection without FIN or RST.
-func (c *Caller) Close() { _ = c.link.conn.Close() }
+func (c *Client) Close() { _ = c.link.conn.Close() }
 
 // Open connects from an endpoint to the address of a service. name is the name of the
 // service, which each request carries.
-func (c *Caller) Open(ctx context.Context, from, service sparflow.Endpoint, name string) (conn *Conn, err error) {
+func (c *Client) Open(ctx context.Context, from, service sparflow.Endpoint, name string) (conn *Conn, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotatef(err, "open %s from %s", name, from)
 		}
 	}()
 	conn = &Conn{
-		caller: c, from: from, service: service, name: name, seq: startSeq,
+		client: c, from: from, service: service, name: name, seq: startSeq,
 		packets: make(chan sparpacket.View, 16),
 	}
 	c.mu.Lock()
@@ -92,8 +92,8 @@
 	return conn, nil
 }
 
-// Ask sends a request and returns the whole response.
-func (c *Conn) Ask(ctx context.Context, id string) (a Answer, err error) {
+// Do sends a request and returns the whole response.
+func (c *Conn) Do(ctx context.Context, id string) (r Response, err error) {
 	defer func() {
 		if err != nil {
 			err = errors.Annotatef(err, "request %s from %s", id, c.from)
@@ -104,23 +104,23 @@
 		return v.Seq == c.ack && len(v.Data()) > 0
 	})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	c.seq += uint32(len(request))
 	c.ack += uint32(len(v.Data()))
 	parts := strings.SplitN(string(v.Data()), " ", 3)
 	if len(parts) != 3 {
-		return Answer{}, errors.Errorf("truncated response: %q", v.Data())
+		return Response{}, errors.Errorf("truncated response: %q", v.Data())
 	}
-	return Answer{Service: parts[0], Upstream: parts[1], ID: parts[2]}, nil
+	return Response{Service: parts[0], Upstream: parts[1], ID: parts[2]}, nil
 }
 
 // Close closes the connection with FIN.
 func (c *Conn) Close(ctx context.Context) error {
 	_, err := c.exchange(ctx, sparpacket.FIN|sparpacket.ACK, nil, func(v sparpacket.View) bool { return v.FIN() })
-	c.caller.mu.Lock()
-	delete(c.caller.conns, c.from)
-	c.caller.mu.Unlock()
+	c.client.mu.Lock()
+	delete(c.client.conns, c.from)
+	c.client.mu.Unlock()
 	return err
 }
 
@@ -149,12 +149,12 @@
 }
 
 func (c *Conn) send(flags uint8, data []byte) {
-	c.caller.link.send(sparpacket.Segment{
+	c.client.link.send(sparpacket.Segment{
 		From: c.from, To: c.service, Proto: sparflow.TCP, Flags: flags, Seq: c.seq, Ack: c.ack, Data: data,
 	})
 }
 
-func (c *Caller) receive(v sparpacket.View) {
+func (c *Client) receive(v sparpacket.View) {
 	c.mu.Lock()
 	conn := c.conns[v.Target]
 	c.mu.Unlock()
--- a/internal/stand/sparhost/host.go
+++ b/internal/stand/sparhost/host.go
@@ -5,9 +5,9 @@
 // its service and its address, so that a client sees where each response came from:
 //
 //	server, err := sparhost.NewServer(fabric, sparhost.ServerConfig{At: at, Service: "booking"})
-//	caller, err := sparhost.NewCaller(fabric)
-//	conn, err := caller.Open(ctx, from, service, "booking")
-//	answer, err := conn.Ask(ctx, "hold-1")
+//	client, err := sparhost.NewClient(fabric)
+//	conn, err := client.Open(ctx, from, service, "booking")
+//	response, err := conn.Do(ctx, "hold-1")
 package sparhost
 
 import (
--- a/internal/stand/sparhost/server.go
+++ b/internal/stand/sparhost/server.go
@@ -35,10 +35,10 @@
 
 	// ServerStats counts what an upstream received.
 	ServerStats struct {
-		Openings int // SYNs of new connections
-		Unknown  int // packets of unknown connections
-		Wrong    int // requests meant for another service
-		Conns    int // currently open connections
+		Openings  int // SYNs of new connections
+		Unknown   int // packets of unknown connections
+		Misrouted int // requests meant for another service
+		Conns     int // currently open connections
 	}
 
 	serverConn struct {
@@ -149,7 +149,7 @@
 		request := string(v.Data())
 		service, id, _ := strings.Cut(request, " ")
 		if service != s.cfg.Service {
-			s.stats.Wrong++
+			s.stats.Misrouted++
 		}
 		s.runs[id]++
 		c.reply = fmt.Appendf(nil, "%s %s %s", s.cfg.Service, s.cfg.At, id)
--- a/internal/stand/sparsite/site.go
+++ b/internal/stand/sparsite/site.go
@@ -107,11 +107,11 @@
 // StartVM starts a VM in this process, registers it with the platform and adds it to the
 // fabric.
 func (s *Site) StartVM(name, domain string) (vm *VM, err error) {
-	return s.StartVMBehind(name, domain, s.Fabric.Address().String())
+	return s.StartVMWithFabric(name, domain, s.Fabric.Address().String())
 }
 
-// StartVMBehind is StartVM for a VM that sends its packets to another fabric.
-func (s *Site) StartVMBehind(name, domain, fabric string) (vm *VM, err error) {
+// StartVMWithFabric is StartVM for a VM that sends its packets to another fabric.
+func (s *Site) StartVMWithFabric(name, domain, fabric string) (vm *VM, err error) {
 	file := s.File(name, domain)
 	file.Fabric = fabric
 	server, err := sparserver.New(file, s.log)
@@ -157,8 +157,8 @@
 	s.Store.Remove(sparkv.Root + sparconfig.VMKey(vm.File.Name))
 }
 
-// Leave stops a VM gracefully: it hands over while the fabric stops sending it packets.
-func (s *Site) Leave(vm *VM) error {
+// StopVM stops a VM gracefully: it hands over while the fabric stops sending it packets.
+func (s *Site) StopVM(vm *VM) error {
 	vm.stop()
 	s.RemoveVM(vm)
 	return <-vm.done
--- a/internal/stand/sparstand/stand.go
+++ b/internal/stand/sparstand/stand.go
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	host, err := sparhost.NewCaller(fabricAddr)
+	host, err := sparhost.NewClient(fabricAddr)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 // clientRun holds the flows of one client process.
 type clientRun struct {
 	*client
-	host      *sparhost.Caller
+	host      *sparhost.Client
 	address   sparflow.Endpoint
 	conns     []*sparhost.Conn
 	upstreams []string
@@ -242,7 +242,7 @@
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		id := fmt.Sprintf("request-%d-%d", c.First+i, round)
-		response, err := c.conns[i].Ask(ctx, id)
+		response, err := c.conns[i].Do(ctx, id)
 		c.count(func(counts *Counts) {
 			counts.Asked++
 			switch {
--- a/internal/stand/sparstore/store.go
+++ b/internal/stand/sparstore/store.go
@@ -4,7 +4,7 @@
 //
 //	s := sparstore.New()
 //	server := httptest.NewServer(s)
-//	s.Disturb(sparstore.Trouble{Down: true})
+//	s.SetFaults(sparstore.Trouble{Down: true})
 package sparstore
 
 import (
@@ -20,7 +20,7 @@
 
 const (
 	keysPath    = "/v1/kv/"
-	faultPath   = "/trouble"
+	faultsPath  = "/trouble"
 	maxValue    = 1 << 20
 	defaultWait = 5 * time.Minute
 )
@@ -40,7 +40,7 @@
 		values   map[string]value
 		index    uint64
 		changed  chan struct{}
-		fault    Trouble
+		faults   Trouble
 		snapshot map[string]value
 		calls    uint64
 	}
@@ -66,13 +66,13 @@
 	return &Store{values: map[string]value{}, index: 1, changed: make(chan struct{})}
 }
 
-// Disturb sets the faults from now on.
-func (s *Store) Disturb(t Trouble) {
+// SetFaults sets the faults from now on.
+func (s *Store) SetFaults(faults Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = t
+	s.faults = faults
 	s.snapshot = nil
-	if t.Stale {
+	if faults.Stale {
 		s.snapshot = map[string]value{}
 		for k, v := range s.values {
 			s.snapshot[k] = v
@@ -110,8 +110,8 @@
 
 // ServeHTTP implements the KV interface, and sets the faults on PUT /trouble.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == faultPath {
-		s.serveFault(w, r)
+	if r.URL.Path == faultsPath {
+		s.serveFaults(w, r)
 		return
 	}
 	key, ok := strings.CutPrefix(r.URL.Path, keysPath)
@@ -121,12 +121,12 @@
 	}
 	s.mu.Lock()
 	s.calls++
-	fault := s.fault
+	faults := s.faults
 	s.mu.Unlock()
-	if fault.Slow > 0 {
-		time.Sleep(fault.Slow)
+	if faults.Slow > 0 {
+		time.Sleep(faults.Slow)
 	}
-	if fault.Down {
+	if faults.Down {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.Method {
@@ -139,13 +139,13 @@
 	}
 }
 
-func (s *Store) serveFault(w http.ResponseWriter, r *http.Request) {
-	var t Trouble
-	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
+func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
+	var faults Trouble
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Disturb(t)
+	s.SetFaults(faults)
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request, key string) {
@@ -215,8 +215,8 @@
 	} else {
 		s.write(key, data)
 	}
-	if s.fault.Lose > 0 {
-		s.fault.Lose--
+	if s.faults.Lose > 0 {
+		s.faults.Lose--
 		return true, true
 	}
 	return true, false
@@ -247,7 +247,7 @@
 func (s *Store) down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fault.Down
+	return s.faults.Down
 }
 
 func (s *Store) read(key string, recurse bool) (pairs []pair, index uint64) {
--- a/internal/vm/sparserver/bench_test.go
+++ b/internal/vm/sparserver/bench_test.go
@@ -94,7 +94,7 @@
 	}
 	b.Cleanup(site.Close)
 	sink, source := listen(b), listen(b)
-	vm, err := site.StartVMBehind("vm-1", "north", address(sink).String())
+	vm, err := site.StartVMWithFabric("vm-1", "north", address(sink).String())
 	if err != nil {
 		b.Fatal(err)
 	}
