--- a/internal/peer/sparcontrol/codec_test.go
+++ b/internal/peer/sparcontrol/codec_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestShares encodes and decodes a full copy and deltas of a registry. A delta must also
+// TestDeltas encodes and decodes a full copy and deltas of a registry. A delta must also
 // remove a deleted key at the receiver.
-func TestShares(t *testing.T) {
+func TestDeltas(t *testing.T) {
 	registry := sparregistry.Registry{}.WithFullRead([]sparregistry.Entry{
 		{Key: "a", Value: []byte("1"), Revision: 3}, {Key: "b", Value: []byte("2"), Revision: 5},
 	}, 6).With(sparregistry.Entry{Key: "a", Revision: 7, Deleted: true})
--- a/internal/route/sparroute/engine_test.go
+++ b/internal/route/sparroute/engine_test.go
@@ -158,7 +158,7 @@
 	return int64(m.HeapAlloc)
 }
 
-func TestOpeningIsRefusedWhenAllUpstreamsDrain(t *testing.T) {
+func TestSYNIsRefusedWhenAllUpstreamsDrain(t *testing.T) {
 	d := document("tcp")
 	e := engine("tcp", "vm-1")
 	for i := range d.Upstreams {
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestUnansweredOpeningMovesToOtherUpstream(t *testing.T) {
+func TestUnansweredSYNMovesToOtherUpstream(t *testing.T) {
 	e := engine("tcp", "vm-1")
 	now := time.Second
 	at := e.Forward(packet(1, sparroute.SYN)).At
@@ -233,7 +233,7 @@
 			return
 		}
 	}
-	t.Error("the opening never moved away from an unresponsive upstream")
+	t.Error("the SYN never moved away from an unresponsive upstream")
 }
 
 func TestUDPFlowEndsByIdleTime(t *testing.T) {
