--- a/internal/member/sparsync/peer.go
+++ b/internal/member/sparsync/peer.go
@@ -24,8 +24,8 @@
 	lastSeen        time.Duration
 	registered      bool          // at the platform; otherwise only its messages were received
 	unanswered      int           // notifications sent since lastSeen
-	unansweredSince time.Duration // first unanswered notification, or last Unlist of the peer
-	requestedAt     time.Duration // last Enlist of the peer
+	unansweredSince time.Duration // first unanswered notification, or last Deregister of the peer
+	requestedAt     time.Duration // last Register of the peer
 }
 
 // alive reports whether the peer counts as reachable.
@@ -75,9 +75,9 @@
 		name   string
 		weight uint64
 	}
-	list := []ranked{{s.self.Name, sparrank.Weight(slot, sparrank.Name(s.self.Name))}}
+	list := []ranked{{s.self.Name, sparrank.Weight(slot, sparrank.Hash(s.self.Name))}}
 	for name := range s.peers {
-		list = append(list, ranked{name, sparrank.Weight(slot, sparrank.Name(name))})
+		list = append(list, ranked{name, sparrank.Weight(slot, sparrank.Hash(name))})
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), strings.Compare(a.name, b.name))
--- a/internal/route/sparroute/settings.go
+++ b/internal/route/sparroute/settings.go
@@ -90,21 +90,21 @@
 	e.updateHealth(g, created)
 	g.ranks = g.ranks[:0]
 	for _, u := range g.service.Upstreams {
-		g.ranks = append(g.ranks, sparrank.Name(u.At.String()))
+		g.ranks = append(g.ranks, sparrank.Hash(u.At.String()))
 	}
 	var openRanks []uint64
 	var open []sparflow.Endpoint
 	for i, u := range g.service.Upstreams {
-		if u.Opens() {
+		if u.AcceptsFlows() {
 			openRanks = append(openRanks, g.ranks[i])
 			open = append(open, u.At)
 		}
 	}
-	shares := sparrank.Share(sparflow.Slots, openRanks)
+	assigned := sparrank.Assign(sparflow.Slots, openRanks)
 	for n := range g.slots {
 		g.slots[n].preferred = 0
-		if shares != nil {
-			g.slots[n].preferred = open[shares[n]]
+		if assigned != nil {
+			g.slots[n].preferred = open[assigned[n]]
 		}
 	}
 	e.refreshCarries(g)
@@ -116,7 +116,7 @@
 	kept := 0
 	carries := map[sparflow.Endpoint]bool{}
 	for _, u := range g.service.Upstreams {
-		if u.Gone(e.wall) {
+		if u.DrainEnded(e.wall) {
 			continue
 		}
 		carries[u.At] = true
@@ -145,7 +145,7 @@
 // expireDrains ends the drains that have reached their deadline.
 func (e *Engine) expireDrains(g *group) {
 	for _, u := range g.service.Upstreams {
-		if !g.carries[u.At] || !u.Gone(e.wall) {
+		if !g.carries[u.At] || !u.DrainEnded(e.wall) {
 			continue
 		}
 		e.emit(Event{
--- a/internal/stand/sparhost/server.go
+++ b/internal/stand/sparhost/server.go
@@ -35,10 +35,10 @@
 
 	// ServerStats counts what an upstream received.
 	ServerStats struct {
-		Openings int // SYNs of new connections
-		Unknown  int // packets of unknown connections
-		Wrong    int // requests meant for another service
-		Conns    int // currently open connections
+		Openings  int // SYNs of new connections
+		Unknown   int // packets of unknown connections
+		Misrouted int // requests meant for another service
+		Conns     int // currently open connections
 	}
 
 	serverConn struct {
@@ -110,16 +110,16 @@
 	}
 	c := s.conns[v.Source]
 	switch {
-	case v.Resetting():
+	case v.RST():
 		delete(s.conns, v.Source)
-	case v.Opening():
+	case v.SYN():
 		s.open(v, c)
 	case c == nil:
 		s.stats.Unknown++
 		if reset := sparpacket.Reset(v); reset != nil {
 			s.sendRaw(reset)
 		}
-	case v.Finishing():
+	case v.FIN():
 		s.reply(v, sparpacket.FIN|sparpacket.ACK, c.seq, v.Seq+1, nil)
 		delete(s.conns, v.Source)
 	case len(v.Data()) > 0:
@@ -149,7 +149,7 @@
 		request := string(v.Data())
 		service, id, _ := strings.Cut(request, " ")
 		if service != s.cfg.Service {
-			s.stats.Wrong++
+			s.stats.Misrouted++
 		}
 		s.runs[id]++
 		c.reply = fmt.Appendf(nil, "%s %s %s", s.cfg.Service, s.cfg.At, id)
--- a/internal/stand/sparstand/stand.go
+++ b/internal/stand/sparstand/stand.go
@@ -138,17 +138,17 @@
 	defer fab.Close()
 	kv := sparkv.New(f.Platform)
 	for ctx.Err() == nil {
-		if entries, err := kv.List(ctx, sparconfig.VMKey(""), 0); err == nil {
-			fab.Spray(addresses(entries))
+		if listing, err := kv.List(ctx, sparconfig.VMKey(""), 0); err == nil {
+			fab.Spray(addresses(listing))
 		}
 		sparring.Pause(ctx, listEvery)
 	}
 	return nil
 }
 
-func addresses(entries sparkv.Reading) (list []netip.AddrPort) {
+func addresses(listing sparkv.Listing) (list []netip.AddrPort) {
 	var r sparregistry.Registry
-	for _, vm := range sparconfig.VMs(r.Reading(entries.Entries, entries.Revision)) {
+	for _, vm := range sparconfig.VMs(r.WithFullRead(listing.Entries, listing.Revision)) {
 		if vm.State == sparconfig.Live {
 			list = append(list, netip.MustParseAddrPort(vm.Data))
 		}
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	host, err := sparhost.NewCaller(fabricAddr)
+	host, err := sparhost.NewClient(fabricAddr)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 // clientRun holds the flows of one client process.
 type clientRun struct {
 	*client
-	host      *sparhost.Caller
+	host      *sparhost.Client
 	address   sparflow.Endpoint
 	conns     []*sparhost.Conn
 	upstreams []string
@@ -242,7 +242,7 @@
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
 		id := fmt.Sprintf("request-%d-%d", c.First+i, round)
-		response, err := c.conns[i].Ask(ctx, id)
+		response, err := c.conns[i].Do(ctx, id)
 		c.count(func(counts *Counts) {
 			counts.Asked++
 			switch {
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -74,7 +74,7 @@
 	// Store is what a VM needs of the platform.
 	Store interface {
 		// List reads all entries, linearizably.
-		List(ctx context.Context) (platform.Snapshot, error)
+		List(ctx context.Context) (platform.Listing, error)
 		// VMs reads the registered VMs, linearizably.
 		VMs(ctx context.Context) ([]sparconfig.VM, error)
 		// Revision reads the revision of the platform, linearizably.
@@ -105,7 +105,7 @@
 
 		packets *sparring.Ring[*packet]
 		inputs  *sparring.Ring[input]
-		queries *sparring.Questions[*VM]
+		queries *sparring.Queries[*VM]
 		pulls   *sparring.Ring[pull]
 		reads   *sparring.Ring[readRequest]
 		writes  *sparring.Ring[write]
@@ -140,14 +140,14 @@
 			err = errors.Annotatef(err, "VM %s", file.Name)
 		}
 	}()
-	carrier, ok := file.Wire().(sparconfig.CookieCarrier)
+	carrier, ok := file.CarrierSettings().(sparconfig.CookieCarrier)
 	if !ok {
 		return nil, errors.Errorf("carrier %s, expected %s", file.Carrier, sparconfig.Cookie)
 	}
 	vm = &VM{
 		file: file, log: log.WithField("vm", file.Name), store: store, began: time.Now(),
 		packets: sparring.New[*packet](packetRing), inputs: sparring.New[input](inputRing),
-		queries: sparring.NewQuestions[*VM](queryRing), pulls: sparring.New[pull](pullRing),
+		queries: sparring.NewQueries[*VM](queryRing), pulls: sparring.New[pull](pullRing),
 		reads: sparring.New[readRequest](1), writes: sparring.New[write](writeRing),
 		engine: sparcookie.New(file.Name, file.Domain, file.Flows),
 		sync:   sparsync.New(file.VM(), carrier.Force), carrier: carrier,
@@ -261,7 +261,7 @@
 // time. Addresses stay.
 func (vm *VM) reload(file sparconfig.File) {
 	vm.file.Seeds = file.Seeds
-	if carrier, ok := file.Wire().(sparconfig.CookieCarrier); ok {
+	if carrier, ok := file.CarrierSettings().(sparconfig.CookieCarrier); ok {
 		vm.carrier.Grace = carrier.Grace
 	}
 	vm.sync.Seeds(file.Seeds)
@@ -272,7 +272,7 @@
 func (vm *VM) tick() {
 	now := vm.clock.now()
 	vm.engine.Advance(time.Since(vm.began))
-	vm.engine.Fresh(vm.sync.Fresh(now))
+	vm.engine.SetFresh(vm.sync.Fresh(now))
 	vm.age = vm.sync.Age(now)
 	vm.engine.Tick()
 	state := vm.sync.State()
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -186,7 +186,7 @@
 		default:
 			vm.node.Advance(l.now, l.wall())
 			w.deliver(vm)
-			l.perform(vm, vm.node.Drain())
+			l.perform(vm, vm.node.Effects())
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		if l.down || vm.stopped || vm.frozen || vm.readRevision == l.revision || l.blocked(vm.name, "platform") {
 			continue
 		}
-		if !vm.node.Tracker.Watches(l.now) {
+		if !vm.node.Tracker.ReadsPlatform(l.now) {
 			vm.readRevision = 0
 			continue
 		}
@@ -207,7 +207,7 @@
 			entries = append(entries, e)
 		}
 		revision := l.revision
-		l.send("platform", vm.name, l.settingsDelay(vm.name), func(vm *labVM) { vm.node.Reading(entries, revision) })
+		l.send("platform", vm.name, l.settingsDelay(vm.name), func(vm *labVM) { vm.node.MergeRead(entries, revision) })
 	}
 }
 
@@ -235,7 +235,7 @@
 		case sparnode.Release:
 			if h, ok := vm.held[out.Key]; ok {
 				delete(vm.held, out.Key)
-				l.route(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Caller, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
+				l.route(vm, h.flow, sparroute.Segment{From: h.flow.tuple.Client, To: h.flow.tuple.Service, Proto: h.flow.tuple.Proto, Kind: h.kind})
 			}
 		}
 	}
@@ -255,8 +255,8 @@
 func (l *lab) pull(vm *labVM, p sparnode.Pull) {
 	requester := vm.name
 	l.send(requester, p.From.Name, 0, func(peer *labVM) {
-		share := peer.node.Registry().Share(p.After)
-		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(share) })
+		delta := peer.node.Registry().Delta(p.After)
+		l.send(peer.name, requester, l.settingsDelay(requester), func(vm *labVM) { vm.node.Merge(delta) })
 	})
 }
 
@@ -280,7 +280,7 @@
 		vm.node.Advance(l.now, l.wall())
 		snapshot := vm.node.Snapshot()
 		var v sparroute.Verdict
-		back := snapshot.Accepts(s.Proto, s.To) == nil && snapshot.Answers(s.Proto, s.From) != nil
+		back := snapshot.ServiceAt(s.Proto, s.To) == nil && snapshot.ServiceOfUpstream(s.Proto, s.From) != nil
 		if back {
 			v = vm.node.Engine.Return(s)
 		} else {
@@ -303,13 +303,13 @@
 				vm.held[v.Key] = heldPacket{f, s.Kind}
 			}
 			l.upstreamReceive(f, v.At, s)
-		case sparroute.ToCaller:
+		case sparroute.ToClient:
 			l.clientReceive(f, s)
 		case sparroute.Hold:
 			vm.held[v.Key] = heldPacket{f, s.Kind}
 		case sparroute.Refuse:
 			f.refused = true
-		case sparroute.Abort, sparroute.AbortCaller:
+		case sparroute.Abort, sparroute.AbortClient:
 			if f.open {
 				f.broken = "aborted"
 			}
--- a/internal/vm/sparnode/status_test.go
+++ b/internal/vm/sparnode/status_test.go
@@ -40,7 +40,7 @@
 		if f.Drained != 0 {
 			for flow := range l.upstreams[f.Drained].conns {
 				if flow.open && flow.broken == "" {
-					lines = append(lines, f.Text+" but "+flow.tuple.Caller.String()+" is there")
+					lines = append(lines, f.Text+" but "+flow.tuple.Client.String()+" is there")
 				}
 			}
 		}
@@ -64,7 +64,7 @@
 			if requester == nil || requester.stopped || requester.frozen {
 				continue
 			}
-			r := sparstatus.Judge(l.survey(requester))
+			r := sparstatus.FromSurvey(l.survey(requester))
 			for _, line := range l.falseLines(r) {
 				wrong++
 				t.Errorf("seed %d, read %d: %s", 200+seed, i, line)
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -122,7 +122,7 @@
 	verdict := s.route(segment)
 	switch verdict.Action {
 	case sparroute.ToUpstream:
-		if segment.Kind == sparroute.Opening {
+		if segment.Kind == sparroute.SYN {
 			v.StripData()
 		}
 		if verdict.Keep {
@@ -130,7 +130,7 @@
 		}
 		v.RewriteTarget(verdict.At)
 		s.send(p, v.Inner, 0, s.fabric)
-	case sparroute.ToCaller:
+	case sparroute.ToClient:
 		v.RewriteSource(verdict.At)
 		s.send(p, v.Inner, 0, s.fabric)
 	case sparroute.ToPeer:
@@ -141,19 +141,19 @@
 		}
 	case sparroute.Refuse, sparroute.Abort:
 		s.send(p, sparpacket.Reset(v), 0, s.fabric)
-	case sparroute.AbortCaller:
+	case sparroute.AbortClient:
 		s.send(p, abortClient(v, verdict.At), 0, s.fabric)
 	default:
 		s.buffers.Put(p)
 	}
-	s.perform(s.node.Drain())
+	s.perform(s.node.Effects())
 }
 
 // route returns the verdict on a packet. A packet from an upstream of a service is on its
 // way to a client, unless it is sent to a service address. All others are from clients.
 func (s *Server) route(segment sparroute.Segment) sparroute.Verdict {
-	if s.node.Snapshot().Accepts(segment.Proto, segment.To) == nil &&
-		s.node.Snapshot().Answers(segment.Proto, segment.From) != nil {
+	if s.node.Snapshot().ServiceAt(segment.Proto, segment.To) == nil &&
+		s.node.Snapshot().ServiceOfUpstream(segment.Proto, segment.From) != nil {
 		return s.node.Engine.Return(segment)
 	}
 	return s.node.Engine.Forward(segment)
@@ -200,14 +200,14 @@
 	switch {
 	case v.Proto == sparflow.UDP:
 		return sparroute.Data
-	case v.Resetting():
-		return sparroute.Resetting
-	case v.Opening():
-		return sparroute.Opening
-	case v.Accepting():
-		return sparroute.Accepting
-	case v.Finishing():
-		return sparroute.Finishing
+	case v.RST():
+		return sparroute.RST
+	case v.SYN():
+		return sparroute.SYN
+	case v.SYNACK():
+		return sparroute.SYNACK
+	case v.FIN():
+		return sparroute.FIN
 	}
 	return sparroute.Data
 }
@@ -215,7 +215,7 @@
 // abortClient returns a RST to the client of a flow whose removed upstream sent v, or nil
 // if v is itself a RST or not TCP.
 func abortClient(v sparpacket.View, service sparflow.Endpoint) []byte {
-	if v.Proto != sparflow.TCP || v.Resetting() {
+	if v.Proto != sparflow.TCP || v.RST() {
 		return nil
 	}
 	return sparpacket.Build(sparpacket.Segment{
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -68,13 +68,13 @@
 		inputs  *sparring.Ring[input]
 		pulls   *sparring.Ring[sparnode.Pull]
 		sweeps  *sparring.Ring[sparnode.Sweep]
-		queries *sparring.Questions[*Server]
+		queries *sparring.Queries[*Server]
 		buffers sync.Pool
 		held    *heldPackets
 		metrics *metrics
 		fabric  netip.AddrPort
 		peers   map[string]netip.AddrPort // data address by VM name
-		watch   chan bool                 // whether this VM watches the platform
+		watch   chan bool                 // whether this VM reads the platform
 		reached bool                      // the last read of the platform succeeded
 	}
 
@@ -98,13 +98,13 @@
 
 	// platformInput is the result of a read of the platform.
 	platformInput struct {
-		reading sparkv.Reading
+		listing sparkv.Listing
 		err     error
 	}
 
 	// pullInput holds the settings pulled from another VM.
 	pullInput struct {
-		share sparregistry.Share
+		delta sparregistry.Delta
 	}
 )
 
@@ -125,7 +125,7 @@
 		node:    sparnode.New(file, uint64(began.UnixMilli()), 0, began),
 		packets: sparring.New[*packet](packetRing), sends: sparring.New[*packet](sendRing),
 		inputs: sparring.New[input](inputRing), pulls: sparring.New[sparnode.Pull](pullRing),
-		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQuestions[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
+		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQueries[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
 		fabric: netip.MustParseAddrPort(file.Fabric), peers: map[string]netip.AddrPort{},
 		watch: make(chan bool, 1),
 	}
@@ -201,7 +201,7 @@
 			s.tick()
 			switch {
 			case stopped.IsZero():
-			case drained.IsZero() && (s.node.Drained() || time.Since(stopped) > handoverTimeout):
+			case drained.IsZero() && (s.node.HandedOver() || time.Since(stopped) > handoverTimeout):
 				drained = time.Now()
 			case !drained.IsZero() && time.Since(drained) > forwardAfter:
 				s.log.Info("handed over")
@@ -229,12 +229,12 @@
 	case platformInput:
 		s.reached = in.err == nil
 		if in.err == nil {
-			s.node.Reading(in.reading.Entries, in.reading.Revision)
+			s.node.MergeRead(in.listing.Entries, in.listing.Revision)
 		}
 	case pullInput:
-		s.node.Merge(in.share)
+		s.node.Merge(in.delta)
 	}
-	s.perform(s.node.Drain())
+	s.perform(s.node.Effects())
 }
 
 func (s *Server) tick() {
@@ -249,12 +249,12 @@
 // updateWatch notifies watchPlatform whether this VM reads the platform for its failure
 // domain.
 func (s *Server) updateWatch(now time.Duration) {
-	watches := s.node.Tracker.Watches(now)
+	reads := s.node.Tracker.ReadsPlatform(now)
 	select {
 	case <-s.watch:
 	default:
 	}
-	s.watch <- watches
+	s.watch <- reads
 }
 
 func (s *Server) refreshPeers() {
