--- a/internal/route/sparcookie/relay.go
+++ b/internal/route/sparcookie/relay.go
@@ -60,7 +60,7 @@
 // not update flow records, since the other VM sees the responses to it.
 func (e *Engine) forwardRelayed(s Segment) Verdict {
 	u := e.cookies[s.Cookie]
-	if u == nil || s.Kind == Opening {
+	if u == nil || s.Kind == SYN {
 		return e.drop(UnknownCookie)
 	}
 	return e.send(Relayed, u)
@@ -77,6 +77,6 @@
 		if err != nil || vm.Name == e.name {
 			continue // an entry without an address cannot be used
 		}
-		e.relays = append(e.relays, relay{rankID: sparrank.Name(vm.Name), domain: vm.Domain, data: at})
+		e.relays = append(e.relays, relay{rankID: sparrank.Hash(vm.Name), domain: vm.Domain, data: at})
 	}
 }
--- a/internal/route/sparroute/forward.go
+++ b/internal/route/sparroute/forward.go
@@ -10,13 +10,13 @@
 	if g == nil {
 		return e.unknown(s, UnknownAddress)
 	}
-	key := e.hasher.Key(sparflow.Tuple{Caller: s.From, Service: s.To, Proto: s.Proto})
+	key := e.hasher.Key(sparflow.Tuple{Client: s.From, Service: s.To, Proto: s.Proto})
 	sl := &g.slots[key.Slot()]
 	if sl.phase == owning {
 		return e.forwardOwned(g, sl, key, s)
 	}
 	if s.Kind == Data && s.Proto == sparflow.TCP {
-		if upstream, ok := e.cache.Get(key, e.now); ok {
+		if upstream, ok := e.cache.Lookup(key, e.now); ok {
 			return e.toUpstream(g, key, upstream)
 		}
 	}
@@ -32,11 +32,11 @@
 	if g == nil {
 		return e.unknown(s, UnknownUpstream)
 	}
-	tuple := sparflow.Tuple{Caller: s.To, Service: g.service.Address, Proto: s.Proto}
+	tuple := sparflow.Tuple{Client: s.To, Service: g.service.Address, Proto: s.Proto}
 	key := e.hasher.Key(tuple)
 	if !g.carries[s.From] {
 		e.stats.Aborted++
-		return Verdict{Action: AbortCaller, At: g.service.Address, Key: key}
+		return Verdict{Action: AbortClient, At: g.service.Address, Key: key}
 	}
 	sl := &g.slots[key.Slot()]
 	switch {
@@ -49,14 +49,14 @@
 	case s.Proto == sparflow.TCP:
 		e.cache.Put(key, s.From, e.now)
 	}
-	return Verdict{Action: ToCaller, At: g.service.Address, Key: key}
+	return Verdict{Action: ToClient, At: g.service.Address, Key: key}
 }
 
 // returnByOwner redirects a response that opens or ends a flow to the owner, which alone
 // knows whether it comes from the upstream of the flow. Without an owner it is dropped:
 // kernels retransmit these packets, or answer the next packet with a new RST.
 func (e *Engine) returnByOwner(key sparflow.Key, s Segment) Verdict {
-	e.cache.Forget(key)
+	e.cache.Delete(key)
 	if s.Hops < MaxHops {
 		if peer, ok := e.owner(key); ok {
 			return e.redirect(peer)
@@ -83,7 +83,7 @@
 
 // forwardAwaiting decides on a packet of a slot whose handover to this VM is in progress.
 func (e *Engine) forwardAwaiting(g *group, sl *slot, key sparflow.Key, s Segment) Verdict {
-	if s.Kind == Opening {
+	if s.Kind == SYN {
 		return e.hold(g, key)
 	}
 	if f, ok := g.flows[key]; ok && f.state != flowClosed {
@@ -111,7 +111,7 @@
 			return e.redirect(peer)
 		}
 	}
-	if s.Kind == Opening {
+	if s.Kind == SYN {
 		return e.drop(TooManyHops)
 	}
 	if f, ok := g.flows[key]; ok && f.state != flowClosed {
@@ -135,7 +135,7 @@
 // forwardOwned decides on a packet of a slot that this VM owns.
 func (e *Engine) forwardOwned(g *group, sl *slot, key sparflow.Key, s Segment) Verdict {
 	f, known := g.flows[key]
-	if s.Kind == Opening || s.Proto == sparflow.UDP && !known && !e.maybeOlder(g, sl) {
+	if s.Kind == SYN || s.Proto == sparflow.UDP && !known && !e.maybeOlder(g, sl) {
 		return e.open(g, sl, key, f, known)
 	}
 	if known {
@@ -179,11 +179,11 @@
 	case s.Proto == sparflow.UDP:
 		f.changed = e.seconds()
 		g.flows[key] = f
-	case s.Kind == Finishing && f.flags&flagClientFIN == 0:
+	case s.Kind == FIN && f.flags&flagClientFIN == 0:
 		f.flags |= flagClientFIN
 		f.changed = e.seconds()
 		e.closeIfFinished(g, key, f)
-	case s.Kind == Resetting:
+	case s.Kind == RST:
 		e.close(g, key, f)
 	}
 	v := e.toUpstream(g, key, f.upstream)
@@ -197,7 +197,7 @@
 	f, known := g.flows[key]
 	if !known {
 		certain := g.slots[key.Slot()].overridesKnown && !e.viewIncomplete
-		return s.Kind != Resetting || certain
+		return s.Kind != RST || certain
 	}
 	if f.upstream != s.From {
 		return f.state == flowClosed && s.Kind == Data
@@ -206,19 +206,19 @@
 		return e.trackSearch(g, key, s, f)
 	}
 	switch s.Kind {
-	case Accepting, Data:
+	case SYNACK, Data:
 		if f.state == flowOpening {
 			f.state, f.changed = flowOpen, e.seconds()
 			g.flows[key] = f
 			e.recordSuccess(g, f.upstream)
 		}
-	case Finishing:
+	case FIN:
 		if f.flags&flagUpstreamFIN == 0 {
 			f.flags |= flagUpstreamFIN
 			f.changed = e.seconds()
 			e.closeIfFinished(g, key, f)
 		}
-	case Resetting:
+	case RST:
 		if f.flags&flagUnverified != 0 {
 			f.flags &^= flagUnverified
 			f.state = flowSearch
--- a/internal/route/sparroute/health.go
+++ b/internal/route/sparroute/health.go
@@ -27,12 +27,12 @@
 // unhealthy, the fault is more likely on this side, and all count as healthy.
 func (e *Engine) healthy(g *group, at sparflow.Endpoint) bool {
 	h := g.health[at]
-	if h == nil || h.Opens() {
+	if h == nil || h.AcceptsFlows() {
 		return true
 	}
 	failing := 0
 	for _, other := range g.health {
-		if !other.Opens() {
+		if !other.AcceptsFlows() {
 			failing++
 		}
 	}
@@ -67,7 +67,7 @@
 		}
 		h := &sparhealth.Health{}
 		if !created && g.service.Warm > 0 {
-			*h = sparhealth.Joined(e.now)
+			*h = sparhealth.NewWarming(e.now)
 		}
 		g.health[u.At] = h
 	}
@@ -78,20 +78,20 @@
 	}
 }
 
-// Use is the use of one upstream as seen by this VM.
-type Use struct {
+// UpstreamState is the load and health of one upstream as seen by this VM.
+type UpstreamState struct {
 	Flows      int  // open flows with a record in slots owned here
 	Unrecorded bool // the upstream may have flows without a record
 	Healthy    bool // healthy by the flows seen here
 }
 
-// Use returns the use of an upstream of a service as seen by this VM.
-func (e *Engine) Use(service string, at sparflow.Endpoint) Use {
+// UpstreamState returns the state of an upstream of a service as seen by this VM.
+func (e *Engine) UpstreamState(service string, at sparflow.Endpoint) UpstreamState {
 	g := e.groups[service]
 	if g == nil {
-		return Use{}
+		return UpstreamState{}
 	}
-	u := Use{Flows: g.load.own[at], Healthy: e.healthy(g, at)}
+	u := UpstreamState{Flows: g.load.own[at], Healthy: e.healthy(g, at)}
 	for n := range g.slots {
 		sl := &g.slots[n]
 		recorded := sl.phase == owning && sl.complete
--- a/internal/vm/sparentry/settings.go
+++ b/internal/vm/sparentry/settings.go
@@ -27,7 +27,7 @@
 		pull  pull
 		reply *sparcontrol.PullReply
 		age   time.Duration      // of the settings of the peer
-		delta sparregistry.Share // unless the peer is overloaded or has no settings
+		delta sparregistry.Delta // unless the peer is overloaded or has no settings
 		err   error
 	}
 
@@ -36,7 +36,7 @@
 
 	// pull is a request to a peer for its settings.
 	pull struct {
-		req   sparsync.Ask
+		req   sparsync.Pull
 		began time.Duration
 	}
 )
@@ -58,7 +58,7 @@
 	case pulled:
 		vm.pullDone(in, now)
 	case probed:
-		vm.leave.Refused(now)
+		vm.leave.ProbeRefused(now)
 	case served:
 		vm.sync.Served(in.to, in.after, in.digest, in.whole)
 	case wrote:
@@ -70,13 +70,13 @@
 
 func (vm *VM) receive(datagram sparcontrol.Input, now time.Duration) {
 	switch d := datagram.(type) {
-	case sparcontrol.Told:
-		vm.perform(vm.sync.Heard(d.Notice, now), now)
-	case sparcontrol.Asked:
-		vm.perform(vm.sync.Asked(d.Query, now), now)
-	case sparcontrol.Departed:
-		vm.leave.Heard(d.Departure, now)
-	case sparcontrol.Received:
+	case sparcontrol.ReceivedNotification:
+		vm.perform(vm.sync.Notified(d.Notification, now), now)
+	case sparcontrol.ReceivedQuery:
+		vm.perform(vm.sync.Queried(d.Query, now), now)
+	case sparcontrol.ReceivedDeparture:
+		vm.leave.Received(d.Departure, now)
+	case sparcontrol.ReceivedReceipt:
 		vm.sync.Confirmed(d.From, now)
 	default:
 		vm.metrics.badControl.Add(1) // a message used only by VMs of another carrier
@@ -94,11 +94,11 @@
 	switch {
 	case r.Busy:
 		vm.logPeerBusy(in.pull, r.Elsewhere.ToVM())
-		vm.perform(vm.sync.PullBusy(from, r.Elsewhere.ToVM(), now), now)
+		vm.perform(vm.sync.PullRefused(from, r.Elsewhere.ToVM(), now), now)
 	case !r.Synced:
 		vm.perform(vm.sync.PullFailed(now), now)
 	default:
-		next, complete := vm.registry.WithShare(in.delta)
+		next, complete := vm.registry.WithDelta(in.delta)
 		vm.adopt(next, from.Name)
 		vm.perform(vm.sync.Pulled(from, r.Reader, in.pull.began-in.age, complete, now), now)
 	}
@@ -112,7 +112,7 @@
 func (vm *VM) adopt(next sparregistry.Registry, source string) {
 	changed := next.Digest() != vm.registry.Digest() || !vm.synced
 	vm.registry = next
-	vm.sync.Holds(vm.held())
+	vm.sync.SetHeld(vm.held())
 	if !changed {
 		return
 	}
@@ -125,7 +125,7 @@
 		vm.synced = true
 		vm.ready.Store(vm.leave.Ready())
 		vm.logReady()
-		vm.engine.Fresh(true)
+		vm.engine.SetFresh(true)
 		vm.forwardEarly()
 	}
 }
@@ -136,18 +136,18 @@
 		switch out := out.(type) {
 		case sparsync.Read:
 			vm.reads.Put(readRequest{began: now, after: out.After})
-		case sparsync.Peek:
+		case sparsync.ListVMs:
 			vm.reads.Put(readRequest{began: now, vms: true})
-		case sparsync.Ask:
+		case sparsync.Pull:
 			vm.pulls.Put(pull{req: out, began: now}) // one at a time, see sparsync
-		case sparsync.Enquire:
+		case sparsync.SendQuery:
 			vm.sendControl(out.To, sparcontrol.EncodeQuery(out.Query))
 		case sparsync.Notify:
-			vm.sendControl(out.To, sparcontrol.EncodeNotice(out.Notice))
-		case sparsync.Enlist:
+			vm.sendControl(out.To, sparcontrol.EncodeNotification(out.Notification))
+		case sparsync.Register:
 			vm.registerOthers(out.VMs)
-		case sparsync.Unlist:
-			vm.unregister(out.Name)
+		case sparsync.Deregister:
+			vm.deregister(out.Name)
 		case sparsync.Confirm:
 			vm.sendControl(out.To, sparcontrol.EncodeReceipt(vm.file.VM()))
 		}
--- a/internal/vm/sparnode/failure_test.go
+++ b/internal/vm/sparnode/failure_test.go
@@ -204,7 +204,7 @@
 	vm.node.Advance(l.now, l.wall())
 	for i := range 500 {
 		vm.node.Engine.Forward(sparroute.Segment{
-			From: client(5000 + i), To: endpoint(d.Address), Proto: sparflow.TCP, Kind: sparroute.Opening,
+			From: client(5000 + i), To: endpoint(d.Address), Proto: sparflow.TCP, Kind: sparroute.SYN,
 		})
 	}
 	s := vm.node.Engine.Stats()
@@ -230,7 +230,7 @@
 	}
 	l.serve("booking", l.drained(d, upstreamAt(1, 3)))
 	l.run(2 * time.Second)
-	vm.node.Reading(entries, old)
+	vm.node.MergeRead(entries, old)
 	u, _ := vm.node.Snapshot().Service("team/booking").Upstream(endpoint(upstreamAt(1, 3)))
 	if !u.Draining || vm.node.Facts().Revision < l.revision {
 		t.Errorf("reverted to revision %d", vm.node.Facts().Revision)
@@ -249,7 +249,7 @@
 		}
 	}
 	vm := l.boot("vm-9", "domain-0")
-	vm.node.Merge(l.vms[0].node.Registry().Share(0)) // the response of a seed
+	vm.node.Merge(l.vms[0].node.Registry().Delta(0)) // the response of a seed
 	l.exchange(flows, 5*time.Second)
 	if vm.node.Tracker.State() != "serving" {
 		t.Errorf("fresh VM is %s", vm.node.Tracker.State())
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -44,18 +44,18 @@
 
 // Pull implements Control.
 func (h handler) Pull(ctx context.Context, r *sparcontrol.PullRequest) (*sparcontrol.PullReply, error) {
-	share, err := sparring.Ask(ctx, h.server.queries, func(s *Server) sparregistry.Share {
-		return s.node.Registry().Share(r.After)
+	delta, err := sparring.Query(ctx, h.server.queries, func(s *Server) sparregistry.Delta {
+		return s.node.Registry().Delta(r.After)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &sparcontrol.PullReply{Share: sparcontrol.EncodeShare(share), Synced: share.Synced}, nil
+	return &sparcontrol.PullReply{Share: sparcontrol.EncodeDelta(delta), Synced: delta.Synced}, nil
 }
 
 // Facts implements Control. The reply has the id of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
-	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
+	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
 		facts := s.node.Facts()
 		facts.Id = r.Id
 		facts.Platform = s.reached
@@ -69,16 +69,16 @@
 	if err != nil {
 		return nil, err
 	}
-	others, err := sparring.Ask(ctx, h.server.queries, func(s *Server) []sparconfig.VM { return s.node.Expected() })
+	others, err := sparring.Query(ctx, h.server.queries, func(s *Server) []sparconfig.VM { return s.node.Expected() })
 	if err != nil {
 		return nil, err
 	}
-	return sparcontrol.AskAll(ctx, own, others, h.server.metrics.countBytes(http.DefaultTransport)), nil
+	return sparcontrol.QueryAll(ctx, own, others, h.server.metrics.countBytes(http.DefaultTransport)), nil
 }
 
 // Events implements Control.
 func (h handler) Events(ctx context.Context, r *sparcontrol.EventsRequest) (*sparcontrol.EventsReply, error) {
-	return sparring.Ask(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
-		return sparcontrol.FromEvents(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
+	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.EventsReply {
+		return sparcontrol.NewEventsReply(r, s.file.Name, s.node.Timeline.Since(spartimeline.Stamp(r.Since)), s.node.Expected())
 	})
 }
