--- a/internal/route/sparcookie/engine.go
+++ b/internal/route/sparcookie/engine.go
@@ -14,8 +14,8 @@
 //		// reset the connection; the client opens a new one
 //	}
 //
-// An Engine does no I/O and reads no clock. Its flow records serve only to estimate
-// the health and load of upstreams. A lost record breaks no flow.
+// An Engine does no I/O and reads no clock. Its flow records show the health and load
+// of upstreams. A lost record breaks no flow.
 package sparcookie
 
 import (
@@ -31,7 +31,7 @@
 	MaxFlowAge = 60 * time.Second
 
 	// retainRemoved is how long an upstream stays known after its removal from the
-	// roster: the lifetime of a flow and some time for its last packets.
+	// roster: the longest lifetime of a flow and some time for its last packets.
 	retainRemoved = MaxFlowAge + 30*time.Second
 
 	sweepInterval = time.Second
@@ -66,7 +66,7 @@
 		services map[string]bool // all services that this VM has seen in the route
 	}
 
-	// pool is the upstreams of a service, by ID.
+	// pool is the upstreams of a service that are in the roster, ordered by ID.
 	pool struct {
 		local []*upstream // in the failure domain of this VM
 		all   []*upstream
@@ -194,8 +194,8 @@
 	return u
 }
 
-// Tick runs the work that is due at the current time: probes of failing upstreams and
-// the removal of expired records.
+// Tick runs the work that is due at the current time: it ends ejections, so that a SYN can
+// probe the upstream, and deletes expired records.
 func (e *Engine) Tick() {
 	for _, u := range e.upstreams {
 		if !u.removed && u.health.Tick(e.now, 0) {
--- a/internal/route/sparcookie/place.go
+++ b/internal/route/sparcookie/place.go
@@ -11,7 +11,7 @@
 	probeInterval = 300 * time.Millisecond
 	// warmingShare is the part of its capacity that an upstream has while it warms up.
 	warmingShare = 0.5
-	// spillThreshold is the utilization of the slots of a failure domain above which
+	// spillThreshold is the utilization of the slots of a failure domain from which
 	// new flows may go to other domains. Beyond it requests begin to queue.
 	spillThreshold = 0.75
 	// abandonedWeight is the load that an abandoned request counts for, in open flows: the
--- a/internal/route/sparcookie/place_test.go
+++ b/internal/route/sparcookie/place_test.go
@@ -249,8 +249,8 @@
 }
 
 // TestCoincidingRequestsDoNotSpill covers normal load, where some requests coincide by
-// chance. A flow placed in another failure domain would cross a network partition between
-// the domains for the rest of its lifetime.
+// chance. A flow placed in another failure domain would depend on the network between the
+// domains for the rest of its lifetime, also when a network partition separates them.
 func TestCoincidingRequestsDoNotSpill(t *testing.T) {
 	f := newFixture(t)
 	for range 200 { // 100 requests per second in pairs, a third of the capacity of 6 slots
--- a/internal/route/sparcookie/relay.go
+++ b/internal/route/sparcookie/relay.go
@@ -13,7 +13,7 @@
 
 // relay is another VM, which may reach an upstream that this VM cannot reach.
 type relay struct {
-	rankID uint64 // name for rendezvous hashing
+	rankID uint64 // hash of the name, for rendezvous hashing
 	domain string
 	data   sparflow.Endpoint
 }
--- a/internal/route/sparcookie/scale_test.go
+++ b/internal/route/sparcookie/scale_test.go
@@ -15,7 +15,7 @@
 // twentieth of its 256 MB.
 const flowBytes = 400
 
-// fleet returns a fixture with the numbers of upstreams and routes.
+// fleet returns a fixture with the given numbers of upstreams and routes.
 func fleet(upstreams, routes int) *fixture {
 	f := &fixture{t: &testing.T{}, engine: sparcookie.New("vm-1", "domain-0", 1<<20), now: time.Second}
 	for n := range upstreams {
--- a/internal/route/sparcookie/table.go
+++ b/internal/route/sparcookie/table.go
@@ -8,14 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxCookies is the number of cookies among which an upstream gets one. With 7,800
-// upstreams the probability that two share their first cookie is 0.7%.
+// maxCookies is the number of candidate cookies of an upstream. With 7,800 upstreams the
+// probability that two share their first candidate is 0.7%.
 const maxCookies = 4
 
 // Cookie identifies an upstream in the packets of a flow. 0 means none.
 type Cookie uint32
 
-// candidateCookie returns the nth cookie of the upstream with the ID. It is never 0.
+// candidateCookie returns the nth candidate cookie of the upstream with the ID. It is
+// never 0.
 func candidateCookie(id uint64, n int) Cookie {
 	var b [9]byte
 	binary.BigEndian.PutUint64(b[:], id)
@@ -29,9 +30,9 @@
 
 // assignCookies assigns a cookie to each upstream. On a collision, an upstream in the
 // roster takes precedence over a removed one, then the one that started first; the other
-// takes its next cookie. This order follows from the roster, so all VMs that know both
+// takes its next candidate. This order follows from the roster, so all VMs that know both
 // upstreams assign the same cookies. The previous cookie of an upstream stays valid after
-// a change, unless another upstream needs it.
+// a change, unless an upstream with higher precedence needs it.
 func (e *Engine) assignCookies() {
 	order := make([]*upstream, 0, len(e.upstreams))
 	for _, u := range e.upstreams {
@@ -56,7 +57,7 @@
 	}
 }
 
-// pickCookie returns the first cookie of u that is not taken, or 0.
+// pickCookie returns the first candidate cookie of u that is not taken, or 0.
 func (e *Engine) pickCookie(u *upstream) Cookie {
 	for n := range maxCookies {
 		c := candidateCookie(u.ID, n)
