--- a/internal/route/sparroute/engine.go
+++ b/internal/route/sparroute/engine.go
@@ -46,12 +46,14 @@
 	// HandoverWait is how long a new owner waits for the former one to hand over.
 	HandoverWait = 1500 * time.Millisecond
 
-	scanEvery       = 100 * time.Millisecond
-	handedWait      = 700 * time.Millisecond // from a handover received to the view that makes this VM owner
+	scanEvery = 100 * time.Millisecond
+	// handedWait is how long slots handed to this VM wait for the view that makes it their
+	// owner.
+	handedWait      = 700 * time.Millisecond
 	endedFlushEvery = time.Second
 	collectEvery    = 5 * time.Second
 	linger          = 60 * time.Second // how long the record of a closed flow is kept
-	maxHeld         = 8192             // held openings per service
+	maxHeld         = 8192             // flows per service whose first packet is held
 	maxFlows        = 4 << 20          // flow records per service
 )
 
@@ -111,16 +113,16 @@
 	// group is the routing state of one service and its upstreams.
 	group struct {
 		service    *sparconfig.Service
-		ranks      []uint64                   // ranks of service.Upstreams
+		ranks      []uint64                   // address hashes of service.Upstreams, for rendezvous hashing
 		carries    map[sparflow.Endpoint]bool // upstreams that may carry flows
 		anyRemoved bool                       // an upstream that may have had flows has been removed
 		slots      []slot
 		flows      map[sparflow.Key]flow
 		load       load
 		health     map[sparflow.Endpoint]*sparhealth.Health
-		held       map[sparflow.Key]bool // flows whose opening is held
+		held       map[sparflow.Key]bool // flows whose first packet is held
 		handovers  []handover
-		ended      map[sparflow.Key]bool // overrides that standbys are to forget
+		ended      map[sparflow.Key]bool // closed overrides that standbys are to delete
 		dirty      map[uint16]bool       // slots whose standbys need a full copy
 
 		scanDue      bool // some slot waits for a scan
@@ -246,7 +248,7 @@
 func (e *Engine) seconds() uint32 { return uint32(e.now / time.Second) }
 
 // Frozen gives up all slots after a pause of the process, as other VMs have taken them
-// over. The next view sends them the records of this VM, unless the pause was so long
+// over. They get the records of this VM with the next view, unless the pause was so long
 // that the flows may have ended long ago.
 func (e *Engine) Frozen(pause time.Duration) {
 	e.cache.Clear()
--- a/internal/route/sparroute/forward.go
+++ b/internal/route/sparroute/forward.go
@@ -192,7 +192,9 @@
 }
 
 // trackReturn updates the record of a flow by a packet from an upstream. It reports
-// whether the packet may reach the client: not if the flow belongs to another upstream.
+// whether the packet may reach the client: not if the flow belongs to another upstream,
+// except for Data after the flow has closed, and not if it is a RST of a flow without a
+// record and records may be missing here.
 func (e *Engine) trackReturn(g *group, key sparflow.Key, s Segment) bool {
 	f, known := g.flows[key]
 	if !known {
@@ -243,7 +245,7 @@
 
 // close marks a flow closed. Its record stays for linger, so that a new flow of the same
 // tuple goes to the same upstream while other VMs may still have the old one cached.
-// Standbys delete it at once.
+// Standbys delete their record without this delay.
 func (e *Engine) close(g *group, key sparflow.Key, f flow) {
 	if f.state == flowClosed {
 		return
--- a/internal/route/sparroute/handover.go
+++ b/internal/route/sparroute/handover.go
@@ -104,7 +104,8 @@
 }
 
 // adopt stores a record from another owner. If this VM owns the slot and has a record for
-// another upstream, an established flow takes precedence.
+// another upstream, the record of an established flow takes precedence. If both or neither
+// are established, the existing one stays. It is marked unverified if it stays.
 func (e *Engine) adopt(g *group, key sparflow.Key, f flow) {
 	existing, known := g.flows[key]
 	sl := &g.slots[key.Slot()]
@@ -169,8 +170,7 @@
 	e.emit(Event{Kind: "handover-taken", Service: g.service.Name, Subject: peer, Count: slots})
 }
 
-// releaseOwned releases the held openings of owned slots, unless they wait for their
-// standbys.
+// releaseOwned releases the held packets of owned slots, unless they wait for standbys.
 func (e *Engine) releaseOwned(g *group) {
 	for _, key := range sorted(g.held) {
 		f, known := g.flows[key]
--- a/internal/route/sparroute/load.go
+++ b/internal/route/sparroute/load.go
@@ -36,7 +36,8 @@
 }
 
 // estimate returns the number of open flows at an upstream over all owners. It assumes
-// that some of the others have opened as many flows as this VM since their last report.
+// that up to maxDrift of the others have each had the same change as this VM since their
+// last report.
 func (l *load) estimate(at sparflow.Endpoint) int {
 	own := l.own[at]
 	remote := l.remote[at]
--- a/internal/route/sparroute/owner.go
+++ b/internal/route/sparroute/owner.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// formerOwner returns the owner of slot n in the last view. Without one, it returns the
-// VM that would own the slot if this VM were not a member.
+// formerOwner returns the owner of slot n in the last view. If that had none, it returns
+// the VM that would own the slot if this VM were not a member.
 func (e *Engine) formerOwner(n int, oldView sparmember.View, oldRoles []role) identity {
 	if len(oldRoles) > 0 && oldRoles[n].owner >= 0 {
 		return identify(oldView.Members[oldRoles[n].owner])
@@ -208,7 +208,7 @@
 }
 
 // cancelPending cancels changes that were pending in the last view. Changes of default
-// upstreams are started again later. Openings of slots that have moved go to the new owner.
+// upstreams are started again later. New flows of slots that have moved go to the new owner.
 func (e *Engine) cancelPending() {
 	kept := e.pending[:0]
 	for _, p := range e.pending {
@@ -227,7 +227,7 @@
 	e.pending = kept
 }
 
-// releaseNotOwned releases the held openings of slots that are no longer owned or awaited
+// releaseNotOwned releases the held packets of slots that are no longer owned or awaited
 // here.
 func (e *Engine) releaseNotOwned(g *group) {
 	for _, key := range sorted(g.held) {
--- a/internal/route/sparroute/place.go
+++ b/internal/route/sparroute/place.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// retryAfter is the age in seconds from which a retransmitted SYN counts as a failure
-	// of its upstream and may go to another one.
+	// retryAfter is the age in seconds of an unanswered SYN from which its retransmission
+	// counts as a failure of its upstream and may go to another one.
 	retryAfter = 2
 )
 
@@ -33,14 +33,14 @@
 	return e.place(g, sl, key, 0)
 }
 
-// openHeld forwards an opening once the standbys have its record.
+// openHeld forwards the first packet of a flow once the standbys have its record.
 func (e *Engine) openHeld(g *group, key sparflow.Key, f flow) Verdict {
 	for _, p := range e.pending {
 		if p.group == g && p.key == key {
 			return e.hold(g, key)
 		}
 	}
-	return e.forwardOpening(g, key, f)
+	return e.forwardFirst(g, key, f)
 }
 
 // openRetransmitted decides on a retransmitted SYN. The response to the first one may be
@@ -58,8 +58,8 @@
 	return e.place(g, sl, key, f.upstream)
 }
 
-// forwardOpening forwards an opening to the upstream of its record.
-func (e *Engine) forwardOpening(g *group, key sparflow.Key, f flow) Verdict {
+// forwardFirst forwards the first packet of a flow to the upstream of its record.
+func (e *Engine) forwardFirst(g *group, key sparflow.Key, f flow) Verdict {
 	f.state, f.changed = flowOpening, e.seconds()
 	f.flags &^= flagClientFIN | flagUpstreamFIN
 	if e.viewIncomplete {
@@ -84,16 +84,17 @@
 }
 
 // commit opens a flow at an upstream. An override is first sent to the standbys. While the
-// view is not settled, the flow goes to the default upstream instead, or is dropped.
+// view is not settled, the flow goes to the default upstream instead, or its packet is
+// dropped.
 func (e *Engine) commit(g *group, sl *slot, key sparflow.Key, upstream, avoid sparflow.Endpoint) Verdict {
 	f := flow{upstream: upstream, changed: e.seconds()}
 	if upstream == sl.defaultUpstream {
-		return e.forwardOpening(g, key, f)
+		return e.forwardFirst(g, key, f)
 	}
 	if !e.view.Settled {
 		if sl.defaultUpstream != avoid && e.acceptsFlows(g, sl.defaultUpstream) {
 			f.upstream = sl.defaultUpstream
-			return e.forwardOpening(g, key, f)
+			return e.forwardFirst(g, key, f)
 		}
 		return e.drop(NotSettled)
 	}
@@ -105,7 +106,7 @@
 		Flows:   []Flows{{Upstream: upstream, Keys: []sparflow.Key{key}}},
 	})
 	if len(acks) == 0 {
-		return e.forwardOpening(g, key, f)
+		return e.forwardFirst(g, key, f)
 	}
 	f.state = flowHeld
 	e.record(g, key, f)
@@ -115,7 +116,7 @@
 
 // choose returns the best upstream for a new flow, or 0 if none takes new flows. This is
 // the preferred upstream of the slot, unless it is unhealthy or above its bound, and then
-// the next one in rendezvous order for the key.
+// the next one in rendezvous order for the key. If none is usable, it is the least loaded.
 func (e *Engine) choose(g *group, sl *slot, key sparflow.Key, avoid sparflow.Endpoint) sparflow.Endpoint {
 	bound := e.bounds(g)
 	if sl.preferred != avoid && e.usable(g, sl.preferred, bound) {
--- a/internal/route/sparroute/search.go
+++ b/internal/route/sparroute/search.go
@@ -11,10 +11,11 @@
 	// searchesPerSecond limits the searches that an owner starts, since a packet of a flow
 	// that never existed costs one segment to each upstream.
 	searchesPerSecond = 2000
-	// searchRounds is how often a search tries all upstreams. Their order changes if
-	// upstreams join or leave during the search.
+	// searchRounds is how often a search tries all upstreams. One round may miss some,
+	// since their order changes if upstreams join or leave during the search.
 	searchRounds = 2
-	// searchWait is how long a search waits for a RST after the last packet of its flow.
+	// searchWait is how long a search waits for a RST, counted from the last change of the
+	// record. Neither packets of the flow nor RSTs of the upstreams tried prolong it.
 	searchWait = 5 * time.Second
 )
 
@@ -68,8 +69,8 @@
 	return false
 }
 
-// endSearch ends a search at the upstream tried last if it has sent no RST for searchWait.
-// A later RST resumes the search.
+// endSearch ends a search at the upstream tried last once searchWait has passed. A later
+// RST resumes the search.
 func (e *Engine) endSearch(g *group, key sparflow.Key, f flow) {
 	if e.age(f) < searchWait {
 		return
--- a/internal/route/sparroute/sync.go
+++ b/internal/route/sparroute/sync.go
@@ -12,7 +12,8 @@
 	g.scanDue = true
 }
 
-// flush sends full copies of slots with a new owner or new standbys to the standbys.
+// flush sends the standbys full copies of dirty slots, such as slots with a new owner or
+// new standbys: their overrides and default upstreams.
 func (e *Engine) flush(g *group) {
 	if len(g.dirty) == 0 {
 		return
--- a/internal/route/sparroute/verdict.go
+++ b/internal/route/sparroute/verdict.go
@@ -15,10 +15,10 @@
 	ToPeer
 	// Hold keeps the packet until a Release for Key.
 	Hold
-	// Refuse answers an opening that no upstream has received with RST. No request of the
-	// flow has run.
+	// Refuse answers with RST the first packet of a flow, which no upstream has received.
+	// No request of the flow has run.
 	Refuse
-	// Abort answers a packet whose upstream has been removed with RST. The outcome of the
+	// Abort answers with RST a packet whose upstream has been removed. The outcome of the
 	// request is unknown.
 	Abort
 	// AbortClient replaces a packet from a removed upstream by RST to its client.
@@ -26,7 +26,7 @@
 )
 
 const (
-	// Data is a packet within a flow.
+	// Data is a packet without SYN, FIN or RST. Every UDP packet is Data.
 	Data Kind = iota
 	// SYN opens a flow: SYN without ACK.
 	SYN
@@ -92,7 +92,7 @@
 		Key sparflow.Key
 	}
 
-	// Event is an entry for the time line of the VM.
+	// Event is an entry for the timeline of the VM.
 	Event struct {
 		Kind    string
 		Service string
@@ -109,7 +109,7 @@
 		Aborted    uint64
 		Unrecorded uint64 // packets of flows without a record, at the owner
 		Searches   uint64 // searches for the upstream of a flow
-		Retries    uint64 // openings retried at another upstream
+		Retries    uint64 // SYNs retried at another upstream
 		Drops      [causes]uint64
 	}
 )
