--- a/internal/event/spartimeline/timeline.go
+++ b/internal/event/spartimeline/timeline.go
@@ -34,7 +34,7 @@
 		last Stamp
 	}
 
-	// Event is one entry of a time line.
+	// Event is one entry of a timeline.
 	Event struct {
 		At      Stamp
 		VM      string
