--- a/internal/vm/sparnode/baseline_test.go
+++ b/internal/vm/sparnode/baseline_test.go
@@ -13,7 +13,7 @@
 // and may keep a table of the flows whose packets it has received.
 type baseline struct {
 	hasher sparflow.Hasher
-	ranks  []uint64
+	hashes []uint64 // of the upstreams
 	bySlot []int
 	tables []map[sparflow.Key]int // flow table of each VM, nil for hashing alone
 	rng    *rand.Rand
@@ -22,9 +22,9 @@
 func newBaseline(tables bool) *baseline {
 	b := &baseline{hasher: sparflow.NewHasher(1, 2), rng: rand.New(rand.NewPCG(1, 7))}
 	for i := range bigUpstreams {
-		b.ranks = append(b.ranks, sparrank.Hash(upstreamAt(1, i+1)))
+		b.hashes = append(b.hashes, sparrank.Hash(upstreamAt(1, i+1)))
 	}
-	b.bySlot = sparrank.Assign(sparflow.Slots, b.ranks)
+	b.bySlot = sparrank.Assign(sparflow.Slots, b.hashes)
 	if tables {
 		for range bigVMs {
 			b.tables = append(b.tables, map[sparflow.Key]int{})
@@ -48,7 +48,7 @@
 
 // drain removes the last upstream from the hash.
 func (b *baseline) drain() {
-	b.bySlot = sparrank.Assign(sparflow.Slots, b.ranks[:bigUpstreams-1])
+	b.bySlot = sparrank.Assign(sparflow.Slots, b.hashes[:bigUpstreams-1])
 }
 
 // broken opens flows, sends some packets on each, drains an upstream and sends 20 more on
--- a/internal/vm/sparnode/sweep.go
+++ b/internal/vm/sparnode/claims.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	sweepEvery = time.Second
+	claimCheckEvery = time.Second
 	// claimGrace is how long a claim stays after it is no longer used. It is longer than
 	// a writer may take between writing a claim and writing the document that uses it.
 	claimGrace = time.Minute
 )
 
 type (
-	// Sweep deletes an unused claim if its revision has not changed.
-	Sweep struct {
+	// ReleaseClaim asks to delete an unused claim if its revision has not changed.
+	ReleaseClaim struct {
 		Key      string
 		Revision uint64
 	}
@@ -29,16 +29,16 @@
 	}
 )
 
-func (Sweep) output() {}
+func (ReleaseClaim) output() {}
 
-// sweeps releases unused claims. Only the first member of the view does so, and only while
-// every VM that should respond has these settings in force. Until then some VM may still
-// send packets to the address of a claim.
-func (n *Node) sweeps() []Output {
-	if n.now-n.lastSweep < sweepEvery {
+// releaseClaims asks to release the claims that have been unused for claimGrace. Only the
+// first member of the view does so, and only while every VM that should respond has these
+// settings in force. Until then some VM may still send packets to the address of a claim.
+func (n *Node) releaseClaims() []Output {
+	if n.now-n.lastClaimCheck < claimCheckEvery {
 		return nil
 	}
-	n.lastSweep = n.now
+	n.lastClaimCheck = n.now
 	members := n.Engine.View().Members
 	if len(members) == 0 || members[0].VM.Name != n.self.Name || !n.confirmed() {
 		clear(n.unusedClaims)
@@ -58,7 +58,7 @@
 		}
 		if n.now-u.since >= claimGrace {
 			delete(n.unusedClaims, e.Key)
-			outs = append(outs, Sweep{Key: e.Key, Revision: e.Revision})
+			outs = append(outs, ReleaseClaim{Key: e.Key, Revision: e.Revision})
 		}
 	}
 	return outs
--- a/internal/vm/sparnode/lab_test.go
+++ b/internal/vm/sparnode/lab_test.go
@@ -176,16 +176,16 @@
 func (l *lab) deliver() {
 	due := l.messages
 	l.messages = nil
-	for _, w := range due {
-		switch vm := l.vm(w.to); {
-		case w.at > l.now:
-			l.messages = append(l.messages, w)
+	for _, m := range due {
+		switch vm := l.vm(m.to); {
+		case m.at > l.now:
+			l.messages = append(l.messages, m)
 		case vm == nil:
 		case vm.frozen:
-			l.messages = append(l.messages, w) // waits in the socket buffer
+			l.messages = append(l.messages, m) // waits in the socket buffer
 		default:
 			vm.node.Advance(l.now, l.wall())
-			w.deliver(vm)
+			m.deliver(vm)
 			l.perform(vm, vm.node.Effects())
 		}
 	}
@@ -227,7 +227,7 @@
 			l.datagram(vm, out.To.Name, sparcontrol.EncodeFrame(out.Message))
 		case sparnode.Pull:
 			l.pull(vm, out)
-		case sparnode.Sweep:
+		case sparnode.ReleaseClaim:
 			if e, ok := l.entries[out.Key]; ok && e.Revision == out.Revision {
 				delete(l.entries, out.Key)
 				l.revision++
--- a/internal/vm/sparnode/load_test.go
+++ b/internal/vm/sparnode/load_test.go
@@ -86,8 +86,9 @@
 	assertAtMost(t, "broken flows", l.broken(flows), oneIn10000)
 }
 
-// TestControlBytes checks the bound under two loads: 2000 new flows a second in all, and
-// the required thousands of new flows a second at each VM. Flows stay open for 15 s.
+// TestControlBytes checks the bound under two loads: the present one of 2000 new flows a
+// second in all, and the required one of thousands of new flows a second at each VM. Flows
+// stay open for 15 s.
 func TestControlBytes(t *testing.T) {
 	const (
 		seconds = 10
--- a/internal/vm/sparnode/node.go
+++ b/internal/vm/sparnode/node.go
@@ -39,7 +39,7 @@
 
 type (
 	// Output is something for the caller of a node to do. It is a sealed interface: Beat,
-	// Frame, Pull, Sweep or Release.
+	// Frame, Pull, ReleaseClaim or Release.
 	Output interface {
 		output()
 	}
@@ -73,20 +73,20 @@
 		Tracker  *sparmember.Tracker
 		Timeline *spartimeline.Ring
 
-		self         sparconfig.VM
-		incarnation  uint64
-		registry     sparregistry.Registry
-		snapshot     sparconfig.Snapshot
-		clock        spartimeline.Clock
-		streams      map[string]*sparstream.Stream[sparroute.Message]
-		now          time.Duration
-		wall         time.Time
-		lastBeat     time.Duration
-		heartbeats   int
-		lastPulls    map[string]lastPull
-		inForce      uint64
-		lastSweep    time.Duration
-		unusedClaims map[string]unusedClaim
+		self           sparconfig.VM
+		incarnation    uint64
+		registry       sparregistry.Registry
+		snapshot       sparconfig.Snapshot
+		clock          spartimeline.Clock
+		streams        map[string]*sparstream.Stream[sparroute.Message]
+		now            time.Duration
+		wall           time.Time
+		lastBeat       time.Duration
+		heartbeats     int
+		lastPulls      map[string]lastPull
+		inForce        uint64
+		lastClaimCheck time.Duration
+		unusedClaims   map[string]unusedClaim
 	}
 
 	lastPull struct {
@@ -207,7 +207,7 @@
 		outs = append(outs, n.beat()...)
 	}
 	outs = append(outs, n.pulls()...)
-	outs = append(outs, n.sweeps()...)
+	outs = append(outs, n.releaseClaims()...)
 	outs = append(outs, n.frames()...)
 	return append(outs, n.Effects()...)
 }
--- a/internal/vm/sparnode/settings.go
+++ b/internal/vm/sparnode/settings.go
@@ -53,7 +53,8 @@
 }
 
 // pulls requests missing settings from a peer whose settings differ and are not older. If
-// a pull from that peer did not help, its digest being the same, it requests everything.
+// the digest of that peer is the same as at the last pull from it, that pull was not enough
+// and everything is requested.
 func (n *Node) pulls() []Output {
 	var outs []Output
 	for _, h := range n.Tracker.Live(n.now) {
--- a/internal/vm/sparserver/calls.go
+++ b/internal/vm/sparserver/calls.go
@@ -88,8 +88,8 @@
 func (s *Server) releaseClaims(ctx context.Context) error {
 	for {
 		select {
-		case sweep := <-s.sweeps.Out():
-			if _, err := s.store.Delete(ctx, sweep.Key, sweep.Revision); err != nil {
+		case out := <-s.claims.Out():
+			if _, err := s.store.Delete(ctx, out.Key, out.Revision); err != nil {
 				s.log.WithError(err).Debug("releasing a claim failed") // retried later
 			}
 		case <-ctx.Done():
--- a/internal/vm/sparserver/control.go
+++ b/internal/vm/sparserver/control.go
@@ -23,8 +23,8 @@
 	server *Server
 }
 
-// serveHTTP serves VMs, operators and metric collectors.
-func (s *Server) serveHTTP(ctx context.Context) error {
+// serveControl serves requests of VMs, operators and metrics collectors.
+func (s *Server) serveControl(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(sparcontrol.ControlPathPrefix, sparcontrol.NewControlServer(handler{server: s}))
 	mux.Handle(sparmetrics.Path, s.metrics.http)
@@ -35,7 +35,7 @@
 		<-ctx.Done()
 		_ = server.Close()
 	})
-	err := server.Serve(s.web)
+	err := server.Serve(s.controlTCP)
 	if errors.Is(err, http.ErrServerClosed) || ctx.Err() != nil {
 		return nil
 	}
@@ -53,12 +53,12 @@
 	return &sparcontrol.PullReply{Share: sparcontrol.EncodeDelta(delta), Synced: delta.Synced}, nil
 }
 
-// Facts implements Control. The reply has the id of its request.
+// Facts implements Control. The reply has the ID of its request.
 func (h handler) Facts(ctx context.Context, r *sparcontrol.FactsRequest) (*sparcontrol.FactsReply, error) {
 	return sparring.Query(ctx, h.server.queries, func(s *Server) *sparcontrol.FactsReply {
 		facts := s.node.Facts()
 		facts.Id = r.Id
-		facts.Platform = s.reached
+		facts.Platform = s.reachable
 		return facts
 	})
 }
--- a/internal/vm/sparserver/metrics.go
+++ b/internal/vm/sparserver/metrics.go
@@ -18,7 +18,7 @@
 	httpHeader = 700 // bytes of the headers of a twirp call, counted likewise
 )
 
-// metrics holds the counts of one VM and publishes them through tally.
+// metrics holds the counters of one VM and publishes them through tally.
 type metrics struct {
 	parser        sparpacket.Parser
 	scope         tally.Scope
@@ -40,13 +40,13 @@
 	return &metrics{scope: set.Scope, closer: set, http: set.Handler, badPackets: map[string]int64{}}
 }
 
-// badPacket counts a datagram refused by the parser, by cause.
-func (m *metrics) badPacket(err error) {
+// countBadPacket counts a datagram refused by the parser, by cause.
+func (m *metrics) countBadPacket(err error) {
 	m.badPackets[err.Error()]++
 }
 
-// controlBytes counts the bytes of a datagram of n bytes sent to another VM.
-func (m *metrics) controlBytes(n int) {
+// countDatagram counts the bytes of a datagram to another VM with a payload of n bytes.
+func (m *metrics) countDatagram(n int) {
 	m.control.Add(uint64(n + udpHeader))
 }
 
@@ -63,7 +63,7 @@
 // RoundTrip implements http.RoundTripper.
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// publish updates the metrics, at most once per sparmetrics.PublishEvery.
+// publish updates the metrics about once a second.
 func (m *metrics) publish(s *Server) {
 	now := time.Now()
 	if now.Sub(m.published) < sparmetrics.PublishEvery {
--- a/internal/vm/sparserver/packets.go
+++ b/internal/vm/sparserver/packets.go
@@ -20,7 +20,8 @@
 	headroom  = 16 // bytes left free for the Geneve option of a redirect
 )
 
-// heldPackets holds SYNs until the owner of their slot or its standbys are ready.
+// heldPackets holds packets until the engine releases their flow: SYNs until the owner of
+// their slot or its standbys are ready, and copies that may have to be sent again.
 type heldPackets struct {
 	packets map[sparflow.Key]*packet
 	since   map[sparflow.Key]time.Duration
@@ -48,7 +49,7 @@
 	return p
 }
 
-// expire drops packets held so long that their sender has retransmitted them.
+// expire drops packets held so long that their sender has retransmitted them by now.
 func (h *heldPackets) expire(now time.Duration) {
 	for key, since := range h.since {
 		if now-since > holdTime {
@@ -108,13 +109,14 @@
 	}
 }
 
-// forward routes one packet, and sends, holds or drops it. It takes over p.
+// forward routes one packet, and sends, holds or drops it. The caller must not use p
+// afterwards.
 func (s *Server) forward(p *packet) {
 	now, wall := s.clock()
 	s.node.Advance(now, wall)
 	v, err := s.metrics.parser.Parse(p.buffer[:p.size])
 	if err != nil {
-		s.metrics.badPacket(err)
+		s.metrics.countBadPacket(err)
 		s.buffers.Put(p)
 		return
 	}
@@ -159,7 +161,7 @@
 	return s.node.Engine.Forward(segment)
 }
 
-// keep holds a copy of a packet that may have to be sent again to another upstream.
+// keep holds a copy of a packet that may have to be sent to another upstream.
 func (s *Server) keep(key sparflow.Key, p *packet, now time.Duration) {
 	c := s.buffers.Get().(*packet)
 	*c = *p
--- a/internal/vm/sparserver/server.go
+++ b/internal/vm/sparserver/server.go
@@ -1,13 +1,13 @@
 // Package sparserver runs one entry VM: the sockets, timers and calls around a
 // sparnode.Node, which does no I/O.
 //
-// Each task has its own goroutine, connected to the others by bounded rings. One
-// goroutine, decide, owns all state; the others only do I/O:
+// Each task runs in a goroutine of its own. Bounded rings connect the goroutines. Only the
+// event loop owns state; the other goroutines do I/O:
 //
-//	readData ─────packets──▶ decide ──sends───▶ writeData
-//	readControl ──inputs───▶   │ ◀────queries── twirp handlers
-//	watchPlatform ─inputs──▶   ├──────pulls───▶ pullSettings
-//	                           └──────sweeps──▶ releaseClaims
+//	readData ─────packets──▶ eventLoop ──sends──▶ writeData
+//	readControl ──inputs───▶   │  ◀─────queries── twirp handlers
+//	watchPlatform ─inputs──▶   ├───────pulls────▶ pullSettings
+//	                           └───────claims───▶ releaseClaims
 //
 //	server, err := sparserver.New(file, log)
 //	err = server.Run(ctx, abort) // returns once the VM has handed over
@@ -44,9 +44,9 @@
 	pullRing   = 64
 	queryRing  = 64
 
-	// socketQueue is the size of the kernel's queue of a socket in bytes: room for twice
-	// the packets of a ring.
-	socketQueue     = 8 << 20
+	// socketBuffer is the size of a socket's kernel buffer in bytes: room for twice the
+	// packets of a ring.
+	socketBuffer    = 8 << 20
 	handoverTimeout = 30 * time.Second
 	forwardAfter    = 2 * time.Second // after the handover, for packets that the fabric still sends here
 )
@@ -54,28 +54,28 @@
 type (
 	// Server is one running VM. Use New.
 	Server struct {
-		file    sparconfig.File
-		log     *logrus.Entry
-		store   *sparkv.Client
-		node    *sparnode.Node
-		began   time.Time
-		data    *net.UDPConn
-		control *net.UDPConn
-		web     net.Listener
+		file       sparconfig.File
+		log        *logrus.Entry
+		store      *sparkv.Client
+		node       *sparnode.Node
+		began      time.Time
+		data       *net.UDPConn
+		control    *net.UDPConn
+		controlTCP net.Listener
 
-		packets *sparring.Ring[*packet]
-		sends   *sparring.Ring[*packet]
-		inputs  *sparring.Ring[input]
-		pulls   *sparring.Ring[sparnode.Pull]
-		sweeps  *sparring.Ring[sparnode.Sweep]
-		queries *sparring.Queries[*Server]
-		buffers sync.Pool
-		held    *heldPackets
-		metrics *metrics
-		fabric  netip.AddrPort
-		peers   map[string]netip.AddrPort // data address by VM name
-		watch   chan bool                 // whether this VM reads the platform
-		reached bool                      // the last read of the platform succeeded
+		packets   *sparring.Ring[*packet]
+		sends     *sparring.Ring[*packet]
+		inputs    *sparring.Ring[input]
+		pulls     *sparring.Ring[sparnode.Pull]
+		claims    *sparring.Ring[sparnode.ReleaseClaim]
+		queries   *sparring.Queries[*Server]
+		buffers   sync.Pool
+		held      *heldPackets
+		metrics   *metrics
+		fabric    netip.AddrPort
+		peers     map[string]netip.AddrPort // data address by VM name
+		watch     chan bool                 // whether this VM reads the platform
+		reachable bool                      // the last read of the platform succeeded
 	}
 
 	// packet is one datagram passed between goroutines.
@@ -86,7 +86,7 @@
 		to     netip.AddrPort
 	}
 
-	// input is passed by other goroutines to decide. It is a sealed interface.
+	// input is a message from another goroutine to the event loop. It is a sealed interface.
 	input interface {
 		input()
 	}
@@ -125,18 +125,18 @@
 		node:    sparnode.New(file, uint64(began.UnixMilli()), 0, began),
 		packets: sparring.New[*packet](packetRing), sends: sparring.New[*packet](sendRing),
 		inputs: sparring.New[input](inputRing), pulls: sparring.New[sparnode.Pull](pullRing),
-		sweeps: sparring.New[sparnode.Sweep](pullRing), queries: sparring.NewQueries[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
+		claims: sparring.New[sparnode.ReleaseClaim](pullRing), queries: sparring.NewQueries[*Server](queryRing), held: newHeldPackets(), metrics: newMetrics(),
 		fabric: netip.MustParseAddrPort(file.Fabric), peers: map[string]netip.AddrPort{},
 		watch: make(chan bool, 1),
 	}
 	s.buffers.New = func() any { return new(packet) }
-	if s.data, err = sparsocket.Listen(file.Data, socketQueue); err != nil {
+	if s.data, err = sparsocket.Listen(file.Data, socketBuffer); err != nil {
 		return nil, err
 	}
-	if s.control, err = sparsocket.Listen(file.Control, socketQueue); err != nil {
+	if s.control, err = sparsocket.Listen(file.Control, socketBuffer); err != nil {
 		return nil, err
 	}
-	if s.web, err = net.Listen("tcp4", file.Control); err != nil {
+	if s.controlTCP, err = net.Listen("tcp4", file.Control); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -145,25 +145,25 @@
 // Run serves until ctx is done, then hands over its slots and returns. A value on abort
 // makes it return at once, without a handover.
 func (s *Server) Run(ctx context.Context, abort <-chan os.Signal) (err error) {
-	running, cancel := context.WithCancel(context.Background())
+	workers, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	group := pool.New().WithContext(running).WithCancelOnError().WithFirstError()
+	group := pool.New().WithContext(workers).WithCancelOnError().WithFirstError()
 	group.Go(func(context.Context) error { return s.readData() })
 	group.Go(func(context.Context) error { return s.readControl() })
 	group.Go(s.writeData)
 	group.Go(s.watchPlatform)
 	group.Go(s.pullSettings)
 	group.Go(s.releaseClaims)
-	group.Go(s.serveHTTP)
-	group.Go(func(running context.Context) error {
+	group.Go(s.serveControl)
+	group.Go(func(workers context.Context) error {
 		defer cancel()
-		return s.decide(running, ctx, abort)
+		return s.eventLoop(workers, ctx, abort)
 	})
-	group.Go(func(running context.Context) error {
-		<-running.Done()
+	group.Go(func(workers context.Context) error {
+		<-workers.Done()
 		_ = s.data.Close()
 		_ = s.control.Close()
-		_ = s.web.Close()
+		_ = s.controlTCP.Close()
 		_ = s.metrics.closer.Close()
 		s.store.Close()
 		return nil
@@ -182,13 +182,13 @@
 	return wall.Sub(s.began), wall
 }
 
-// decide runs the node, which no other goroutine may use. Once stop is done it hands over
+// eventLoop runs the node, which no other goroutine may use. Once stop is done it hands over
 // the slots and returns.
-func (s *Server) decide(running, stop context.Context, abort <-chan os.Signal) error {
+func (s *Server) eventLoop(workers, stop context.Context, abort <-chan os.Signal) error {
 	ticker := time.NewTicker(sparnode.TickEvery)
 	defer ticker.Stop()
 	stopping := stop.Done()
-	var stopped, drained time.Time
+	var stopped, handedOver time.Time
 	for {
 		select {
 		case p := <-s.packets.Out():
@@ -201,9 +201,9 @@
 			s.tick()
 			switch {
 			case stopped.IsZero():
-			case drained.IsZero() && (s.node.HandedOver() || time.Since(stopped) > handoverTimeout):
-				drained = time.Now()
-			case !drained.IsZero() && time.Since(drained) > forwardAfter:
+			case handedOver.IsZero() && (s.node.HandedOver() || time.Since(stopped) > handoverTimeout):
+				handedOver = time.Now()
+			case !handedOver.IsZero() && time.Since(handedOver) > forwardAfter:
 				s.log.Info("handed over")
 				return nil
 			}
@@ -214,7 +214,7 @@
 			s.node.Stop()
 		case <-abort:
 			return errors.New("aborted before the slots were handed over")
-		case <-running.Done():
+		case <-workers.Done():
 			return nil
 		}
 	}
@@ -227,7 +227,7 @@
 	case controlInput:
 		s.node.Receive(in.datagram)
 	case platformInput:
-		s.reached = in.err == nil
+		s.reachable = in.err == nil
 		if in.err == nil {
 			s.node.MergeRead(in.listing.Entries, in.listing.Revision)
 		}
@@ -276,8 +276,8 @@
 			s.sendControl(out.To, sparcontrol.EncodeFrame(out.Message))
 		case sparnode.Pull:
 			s.pulls.Put(out)
-		case sparnode.Sweep:
-			s.sweeps.Put(out)
+		case sparnode.ReleaseClaim:
+			s.claims.Put(out)
 		case sparnode.Release:
 			if p := s.held.take(out.Key); p != nil {
 				s.forward(p)
@@ -291,6 +291,6 @@
 	if err != nil {
 		return
 	}
-	s.metrics.controlBytes(len(b))
+	s.metrics.countDatagram(len(b))
 	_, _ = s.control.WriteToUDPAddrPort(b, addr) // a lost datagram is sent again
 }
