--- a/internal/vm/sparentry/control.go
+++ b/internal/vm/sparentry/control.go
@@ -27,8 +27,8 @@
 	// requestTimeout bounds reading a request and writing its response. Without it, a peer
 	// behind a network partition would keep the response in memory.
 	requestTimeout = 5 * time.Second
-	// drainTimeout is how long accepted requests may still run once the fabric sends nothing
-	// more to this VM. It covers a survey, the longest request.
+	// drainTimeout is how long accepted requests may still run once the VM has left. It covers
+	// a survey, the longest request.
 	drainTimeout = sparcontrol.SurveyTimeout + 100*time.Millisecond
 	idleTimeout  = time.Minute
 	maxRequest   = 1 << 16 // bytes; a request usually has a few dozen
--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -12,7 +12,7 @@
 //	puller ───────inputs──▶   └───pulls───▶ puller
 //
 //	vm, err := sparentry.New(file, store, log)
-//	err = vm.Run(ctx, reload) // returns once the fabric sends nothing more to this VM
+//	err = vm.Run(ctx, reload) // returns after ctx ends and the VM has left the fabric
 package sparentry
 
 import (
@@ -111,7 +111,7 @@
 		writes  *sparring.Ring[write]
 		buffers sync.Pool
 		ready   atomic.Bool
-		left    chan struct{} // closed once the fabric sends nothing more to this VM
+		left    chan struct{} // closed once sparleave reports that the VM has left
 		drained chan struct{} // closed once all accepted control requests have ended
 
 		began        time.Time
@@ -126,7 +126,7 @@
 		registration registration
 		early        []*packet // queued until the first settings
 		synced       bool
-		reachable    bool          // the last platform read of this VM succeeded
+		reachable    bool          // the last read of the platform succeeded
 		platformLost bool          // a platform read failed, and no fresh settings have arrived since
 		age          time.Duration // of the settings, at the last tick or datagram
 		leave        sparleave.Leave
@@ -178,7 +178,8 @@
 }
 
 // Run serves until ctx ends, then continues until the fabric sends nothing more to this
-// VM, and returns. Each file received on reload replaces the settings that may change.
+// VM or the time that sparleave allows for it is over, and returns. Each file received on
+// reload replaces the settings that may change.
 func (vm *VM) Run(ctx context.Context, reload <-chan sparconfig.File) (err error) {
 	vm.logStart() // before the event loop starts, which owns the timeline
 	workers, cancel := context.WithCancel(context.Background())
--- a/internal/vm/sparentry/handler.go
+++ b/internal/vm/sparentry/handler.go
@@ -29,15 +29,15 @@
 		return nil, errors.New("pull request has no permit")
 	}
 	p.to, p.after = r.From.ToVM(), r.After
-	a, err := sparring.Query(ctx, h.vm.queries, func(vm *VM) pullDecision { return vm.answerPull(p) })
+	d, err := sparring.Query(ctx, h.vm.queries, func(vm *VM) pullDecision { return vm.answerPull(p) })
 	if err != nil {
 		return nil, err
 	}
-	if a.reply.Synced && !a.reply.Busy && a.reply.Share == nil {
-		a.reply.Share = sparcontrol.EncodeDelta(a.delta)
-		h.vm.deltas.put(a.key, a.reply.Share)
+	if d.reply.Synced && !d.reply.Busy && d.reply.Share == nil {
+		d.reply.Share = sparcontrol.EncodeDelta(d.delta)
+		h.vm.deltas.put(d.key, d.reply.Share)
 	}
-	return a.reply, nil
+	return d.reply, nil
 }
 
 // Facts implements Control. The reply has the ID of its request.
@@ -69,7 +69,7 @@
 	})
 }
 
-// others returns the VMs in the settings without this one.
+// others returns the VMs in the settings except this one.
 func (vm *VM) others() []sparconfig.VM {
 	return slices.DeleteFunc(slices.Clone(vm.engine.Roster().VMs), func(other sparconfig.VM) bool {
 		return other.Name == vm.file.Name
--- a/internal/vm/sparentry/log.go
+++ b/internal/vm/sparentry/log.go
@@ -65,7 +65,8 @@
 	vm.log.WithFields(logrus.Fields{"cause": err.Error(), "bytes": size}).Warn("packet refused")
 }
 
-// logEvents logs changes in the state of upstreams as this VM has it on record.
+// logEvents logs upstreams that the settings add, change or remove, and changes of their
+// health as observed by this VM.
 func (vm *VM) logEvents() {
 	for _, event := range vm.engine.Events() {
 		switch e := event.(type) {
@@ -123,8 +124,8 @@
 	vm.addEvent("settings-"+now, "", vm.sync.Reader(), 0)
 }
 
-// logRead logs a failed platform read, and when the platform becomes unavailable or available
-// again.
+// logRead logs a failed read of the platform, and when the platform becomes unavailable or
+// available again.
 func (vm *VM) logRead(err error) {
 	vm.reachable = err == nil
 	if err == nil {
@@ -138,8 +139,8 @@
 	}
 }
 
-// regainPlatform logs that fresh settings arrive again after a failed platform read. through
-// is the VM that read them: this VM or the reader that notified it.
+// regainPlatform logs that fresh settings arrive again after a failed read of the platform.
+// through is the VM that read them: this VM or the reader that notified it.
 func (vm *VM) regainPlatform(through string) {
 	if vm.platformLost {
 		vm.platformLost = false
--- a/internal/vm/sparentry/metrics.go
+++ b/internal/vm/sparentry/metrics.go
@@ -81,10 +81,11 @@
 	m.counts[name] = now
 }
 
-// recordLatency records how long a client waited for the first sign of a response.
-func (m *metrics) recordLatency(opening bool, waited time.Duration) {
+// recordLatency records how long a client waited for the first sign of a response. first
+// is set if it waited for the response to the first packet of a flow.
+func (m *metrics) recordLatency(first bool, waited time.Duration) {
 	name := "answer_seconds"
-	if opening {
+	if first {
 		name = "opening_seconds"
 	}
 	m.set.Scope.Histogram(name, latencyBuckets).RecordDuration(waited)
--- a/internal/vm/sparentry/packets.go
+++ b/internal/vm/sparentry/packets.go
@@ -13,7 +13,7 @@
 )
 
 // maxEarly is the number of packets queued before the first settings. It is more than arrive
-// during the few calls that fetch the settings, and takes little memory if these fail.
+// during the few calls that fetch the settings, and takes little memory if these calls fail.
 const maxEarly = 256
 
 // packet is one datagram passed between goroutines. Room for the tag precedes its bytes.
@@ -45,8 +45,8 @@
 	}
 }
 
-// queueEarly keeps a packet that arrives before the first settings and drops the oldest one
-// if there are too many. Without it, senders would retransmit only after 200 ms.
+// queueEarly keeps a packet that arrives before the first settings, since its sender would
+// retransmit it only after 200 ms. If maxEarly packets wait, it drops the oldest.
 func (vm *VM) queueEarly(p *packet) {
 	if len(vm.early) >= maxEarly {
 		vm.buffers.Put(vm.early[0])
--- a/internal/vm/sparentry/pull.go
+++ b/internal/vm/sparentry/pull.go
@@ -119,30 +119,30 @@
 // answerPull decides on a pull: which delta to send, or which other peer has the same
 // settings.
 func (vm *VM) answerPull(p *permit) pullDecision {
-	a := pullDecision{
+	d := pullDecision{
 		reply: &sparcontrol.PullReply{
 			Synced: vm.sync.Synced(), Reader: vm.sync.Reader(),
 			Age: uint64(max(vm.sync.Age(vm.clock.now()), 0).Microseconds()),
 		},
 		key: deltaKey{digest: vm.registry.Digest(), revision: vm.registry.Revision(), after: p.after},
 	}
-	if !a.reply.Synced {
-		return a
+	if !d.reply.Synced {
+		return d
 	}
 	referral, ok := p.admit(vm)
 	if !ok {
 		vm.metrics.busy.Add(1)
-		a.reply.Busy = true
+		d.reply.Busy = true
 		if referral.Name != "" {
-			a.reply.Elsewhere = sparcontrol.FromVM(referral)
+			d.reply.Elsewhere = sparcontrol.FromVM(referral)
 		}
-		return a
+		return d
 	}
 	vm.metrics.served.Add(1)
-	if a.reply.Share = vm.deltas.get(a.key); a.reply.Share == nil {
-		a.delta = vm.registry.Delta(p.after)
+	if d.reply.Share = vm.deltas.get(d.key); d.reply.Share == nil {
+		d.delta = vm.registry.Delta(p.after)
 	}
-	return a
+	return d
 }
 
 // get returns an encoded delta, or nil if it is not cached.
@@ -152,7 +152,8 @@
 	return c.deltas[k]
 }
 
-// put caches an encoded delta and drops those of older settings.
+// put caches an encoded delta. It drops the deltas of other settings, and any others while
+// the cache is full.
 func (c *deltaCache) put(k deltaKey, delta []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/vm/sparentry/pull_test.go
+++ b/internal/vm/sparentry/pull_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestPullsReleaseTheirPermits pulls settings from a VM many times at once and cancels half
-// of the requests. Each must release its permit, or later pulls would be refused for ever.
+// of the requests. Each must release its permit, or later pulls would be refused forever.
 func TestPullsReleaseTheirPermits(t *testing.T) {
 	s := newSite(t)
 	v := s.start("vm-1")
@@ -46,8 +46,8 @@
 }
 
 // TestAcceptedRequestsAreAnswered stops a VM during a survey, which takes long since another
-// VM does not respond. The VM accepted the request just before its process ends and must
-// still answer it.
+// VM does not respond. The VM accepts the request shortly before it would end and must still
+// answer it.
 func TestAcceptedRequestsAreAnswered(t *testing.T) {
 	s := newSite(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/vm/sparentry/read.go
+++ b/internal/vm/sparentry/read.go
@@ -39,13 +39,13 @@
 		platform.Listing
 	}
 
-	// incrementalRead is the changes until the platform reached a revision.
+	// incrementalRead is the changes after a revision.
 	incrementalRead struct {
 		platform.Changes
-		reached uint64
+		reached uint64 // revision of the platform just before the changes were read
 	}
 
-	// listedVMs is the VMs registered in the platform.
+	// listedVMs are the VMs registered in the platform.
 	listedVMs []sparconfig.VM
 )
 
@@ -59,8 +59,8 @@
 	for {
 		select {
 		case r := <-vm.reads.Out():
-			f, err := vm.readPlatform(ctx, r)
-			vm.post(ctx, read{readRequest: r, result: f, err: err})
+			result, err := vm.readPlatform(ctx, r)
+			vm.post(ctx, read{readRequest: r, result: result, err: err})
 		case <-ctx.Done():
 			return nil
 		}
@@ -69,7 +69,7 @@
 
 // readPlatform performs one read. An incremental read first gets the current revision,
 // linearizably, to detect changes that the platform omits.
-func (vm *VM) readPlatform(ctx context.Context, r readRequest) (f readResult, err error) {
+func (vm *VM) readPlatform(ctx context.Context, r readRequest) (result readResult, err error) {
 	after := r.after
 	if r.vms {
 		vms, err := vm.store.VMs(ctx)
@@ -102,18 +102,18 @@
 		return
 	}
 	size := 0
-	switch f := in.result.(type) {
+	switch r := in.result.(type) {
 	case listedVMs:
-		vm.logListedVMs(len(f))
-		vm.perform(vm.sync.VMsListed(f, now), now)
+		vm.logListedVMs(len(r))
+		vm.perform(vm.sync.VMsListed(r, now), now)
 		return
 	case fullRead:
-		size = f.Bytes
-		vm.adopt(vm.withFullRead(f, now), "platform")
+		size = r.Bytes
+		vm.adopt(vm.withFullRead(r, now), "platform")
 	case incrementalRead:
-		next, ok := vm.registry.WithChanges(f.Entries, f.Revisions, in.after, f.reached)
+		next, ok := vm.registry.WithChanges(r.Entries, r.Revisions, in.after, r.reached)
 		if !ok {
-			vm.logIncompleteChanges(in.after, f)
+			vm.logIncompleteChanges(in.after, r)
 			vm.perform(vm.sync.ReadIncomplete(now), now)
 			return
 		}
@@ -123,7 +123,7 @@
 }
 
 // withFullRead returns the registry updated from a full read. After an outage of the
-// platform, entries of live upstreams may have expired; such entries are kept for a while.
+// platform, entries of live upstreams may have expired; missing entries are kept for a while.
 // The registry then differs from the platform, so it keeps its previous revision, both here
 // and in notifications to other VMs.
 func (vm *VM) withFullRead(r fullRead, now time.Duration) sparregistry.Registry {
--- a/internal/vm/sparentry/register.go
+++ b/internal/vm/sparentry/register.go
@@ -44,7 +44,7 @@
 		entries []sparregistry.Entry
 	}
 
-	// removal removes the entry of a VM that will not return.
+	// removal removes the entry of a VM that has been silent for long.
 	removal struct {
 		entry sparregistry.Entry
 	}
@@ -92,7 +92,8 @@
 	return !seed && now < seedRegisterTimeout
 }
 
-// registerOthers registers VMs that have started recently and have no entry yet.
+// registerOthers queues writes of entries for VMs that have started recently and have none
+// yet.
 func (vm *VM) registerOthers(vms []sparconfig.VM) {
 	var entries []sparregistry.Entry
 	for _, other := range vms {
@@ -108,7 +109,7 @@
 	}
 }
 
-// deregister removes the entry of a VM that has been silent for long from the platform. The
+// deregister queues the removal of the entry of a VM that has been silent for long. The
 // write fails if the entry has changed since it was read.
 func (vm *VM) deregister(name string) {
 	e, ok := vm.registry.Get(sparroster.VMPrefix + name)
--- a/internal/vm/sparentry/site_test.go
+++ b/internal/vm/sparentry/site_test.go
@@ -32,7 +32,7 @@
 	site struct {
 		t        *testing.T
 		fake     *sparfake.Store
-		store    string
+		store    string // address of the fake platform
 		upstream *net.UDPConn
 		key      string // of the upstream's entry in the platform
 		grace    int64  // seconds; for VMs started later
