--- a/internal/log/sparlog/log.go
+++ b/internal/log/sparlog/log.go
@@ -18,7 +18,7 @@
 const (
 	// Burst is the number of lines with the same message written within a second.
 	Burst = 5
-	// FlowBurst is the limit for logs with lines for each flow. It covers the new flows of a
+	// FlowBurst is the same limit for logs with lines for each flow. It covers the new flows of a
 	// VM in the largest deployment and their resets.
 	FlowBurst = 100
 
@@ -49,7 +49,8 @@
 	return log
 }
 
-// Format implements logrus.Formatter. It returns no bytes for a line that is left out.
+// Format implements logrus.Formatter. For a line that is left out it returns no bytes, or
+// only the summary of the second before.
 func (l *limiter) Format(e *logrus.Entry) (line []byte, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/thread/sparsocket/socket.go
+++ b/internal/thread/sparsocket/socket.go
@@ -1,7 +1,7 @@
 // Package sparsocket opens the UDP sockets of a VM.
 //
 // The kernel queues datagrams while the goroutine that reads them is not running. It drops
-// those that don't fit into the queue without any error, so the size of the queue is given:
+// those that don't fit into the socket buffer without any error, so its size is given:
 //
 //	conn, err := sparsocket.Listen("10.1.0.10:8172", 4<<20)
 //	go readData(conn)
@@ -14,9 +14,9 @@
 	"github.com/juju/errors"
 )
 
-// Listen opens a UDP socket at an IPv4 address and port. It requests a queue of the given
-// number of bytes in each direction; the kernel may reduce it to the system's limit.
-func Listen(address string, queue int) (conn *net.UDPConn, err error) {
+// Listen opens a UDP socket at an IPv4 address and port. It requests socket buffers of the
+// given number of bytes in each direction; the kernel may reduce them to the system's limit.
+func Listen(address string, buffer int) (conn *net.UDPConn, err error) {
 	defer func() { err = errors.Annotatef(err, "socket %s", address) }()
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -26,8 +26,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// An error isn't fatal: a smaller queue only drops more datagrams under load.
-	_ = conn.SetReadBuffer(queue)
-	_ = conn.SetWriteBuffer(queue)
+	// An error isn't fatal: a smaller buffer only drops more datagrams under load.
+	_ = conn.SetReadBuffer(buffer)
+	_ = conn.SetWriteBuffer(buffer)
 	return conn, nil
 }
--- a/internal/vm/sparlaunch/launch.go
+++ b/internal/vm/sparlaunch/launch.go
@@ -28,15 +28,15 @@
 const (
 	// pollEvery is how often the settings file is checked for a change without SIGHUP.
 	pollEvery = 2 * time.Second
-	// heapGrowth is the garbage collection target in percent. It is low because a VM has
-	// little live data and its memory costs more than its CPU time.
+	// heapGrowth is how much the heap may grow before it is collected, in percent. It is low
+	// because a VM has little live data and its memory costs more than its CPU time.
 	heapGrowth = 30
 )
 
 // Run serves until ctx ends or a signal stops the VM. It writes the log to out.
 func Run(ctx context.Context, path string, file sparconfig.File, level logrus.Level, out io.Writer) (err error) {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // first and never stopped: an unhandled SIGHUP ends the process
+	signal.Notify(hangups, syscall.SIGHUP) // before anything else and never stopped: an unhandled SIGHUP ends the process
 	debug.SetGCPercent(heapGrowth)
 	pipe := sparlog.NewPipe(out)
 	defer pipe.Close()
