--- a/internal/vm/sparentry/entry.go
+++ b/internal/vm/sparentry/entry.go
@@ -112,7 +112,7 @@
 		buffers sync.Pool
 		ready   atomic.Bool
 		left    chan struct{} // closed once sparleave reports that the VM has left
-		drained chan struct{} // closed once all accepted control requests have ended
+		drained chan struct{} // closed once accepted control requests have ended, or after drainTimeout
 
 		began        time.Time
 		clock        clock
@@ -127,7 +127,7 @@
 		early        []*packet // queued until the first settings
 		synced       bool
 		reachable    bool          // the last read of the platform succeeded
-		platformLost bool          // a platform read failed, and no fresh settings have arrived since
+		platformLost bool          // a read of the platform failed, and no fresh settings have arrived since
 		age          time.Duration // of the settings, at the last tick or datagram
 		leave        sparleave.Leave
 	}
