--- a/internal/member/sparsync/outage.go
+++ b/internal/member/sparsync/outage.go
@@ -20,7 +20,8 @@
 	outageDelayShare = 0.3
 	// outageTTL is how long a reported outage counts.
 	outageTTL = 3 * time.Second
-	// maxOutages is the number of outages that a query carries.
+	// maxOutages is the number of outages on record from which on no VMs are added from the
+	// queries of peers. It limits the size of queries.
 	maxOutages = 4
 )
 
--- a/internal/member/sparsync/pull.go
+++ b/internal/member/sparsync/pull.go
@@ -11,8 +11,8 @@
 	// deltaTimeout is the time after which a pull of changes no longer keeps another one
 	// from starting.
 	deltaTimeout = 250 * time.Millisecond
-	// fullTimeout is the same for a pull of everything, which takes correspondingly longer
-	// on a slow link.
+	// fullTimeout is the same for a pull of everything, which takes longer by about the same
+	// factor on a slow link.
 	fullTimeout = time.Second
 	// overloadDelay is how long to wait before the next pull after a peer refused one because
 	// of overload: about the time that it takes to serve one pull.
@@ -85,12 +85,12 @@
 }
 
 // startPull records that a pull is under way, with its deadline.
-func (s *Sync) startPull(a Pull, now time.Duration) Output {
+func (s *Sync) startPull(p Pull, now time.Duration) Output {
 	s.pulling, s.pullDeadline = true, now+deltaTimeout
-	if a.After == 0 {
+	if p.After == 0 {
 		s.pullDeadline = now + fullTimeout
 	}
-	return a
+	return p
 }
 
 // pullPending reports whether a pull is under way and has not timed out.
--- a/internal/member/sparsync/register.go
+++ b/internal/member/sparsync/register.go
@@ -13,8 +13,8 @@
 	// registerInterval is how often a seed registers the VMs that have queried it: short
 	// enough that they are soon notified of changes, long enough that many share a write.
 	registerInterval = time.Second
-	// registerRetry is the time before a VM is registered again that does not appear in the
-	// settings: a write and the next read.
+	// registerRetry is how long a registered VM is given to appear in the settings before it
+	// is registered again: a write and the next read.
 	registerRetry = 5 * time.Second
 )
 
--- a/internal/member/sparsync/register_test.go
+++ b/internal/member/sparsync/register_test.go
@@ -34,9 +34,9 @@
 		for range 60 {
 			now += 50 * time.Millisecond
 			for _, out := range s.Tick(now) {
-				if e, ok := out.(sparsync.Register); ok {
+				if r, ok := out.(sparsync.Register); ok {
 					writes++
-					for _, vm := range e.VMs {
+					for _, vm := range r.VMs {
 						registered[vm.Name]++
 					}
 				}
--- a/internal/member/sparsync/serve.go
+++ b/internal/member/sparsync/serve.go
@@ -55,8 +55,7 @@
 	v.holders = append(v.holders, to)
 }
 
-// active returns the number of pulls of the same kind that are being served, to be changed
-// by the caller.
+// active returns the counter of the pulls of the same kind that are being served.
 func (s *Sync) active(after uint64) *int {
 	if after == 0 {
 		return &s.serving.full
--- a/internal/member/sparsync/start.go
+++ b/internal/member/sparsync/start.go
@@ -15,7 +15,8 @@
 	seedTimeout = 15 * time.Millisecond
 	// startReaders is the number of VMs that read at once if no seed replies: as many as the
 	// platform's link can serve at the speed of their own links. The other VMs of a larger
-	// fleet get settings from these, or twice as many read after each startStep.
+	// fleet get settings from these, or read themselves: the number of VMs that may read
+	// doubles with each startStep.
 	startReaders = 32
 	// startStep is the time of a full read on a slow link and of its spread to peers.
 	startStep = 400 * time.Millisecond
@@ -53,8 +54,9 @@
 	waiting   []sparconfig.VM // peers to notify once there are settings
 }
 
-// Seeds sets the control addresses to query while no other VM is on record. A VM that is one
-// of them, or that has none configured, reads the platform at its start.
+// Seeds sets the control addresses to query at the start, when no other VM is on record, and
+// in rotation with the peers later. A VM that is one of them, or that has none configured,
+// reads the platform at its start.
 func (s *Sync) Seeds(controls []string) {
 	s.seeds = nil
 	for _, control := range controls {
@@ -155,8 +157,8 @@
 	return outs
 }
 
-// addWaiting adds a peer to those to notify once the first read of this VM ends, and
-// confirms that this VM is up.
+// addWaiting adds a peer to those to notify once this VM has settings, and confirms that this
+// VM is up. It does nothing unless the first read is under way.
 func (s *Sync) addWaiting(vm sparconfig.VM) []Output {
 	if !s.reading {
 		return nil
--- a/internal/member/sparsync/sync.go
+++ b/internal/member/sparsync/sync.go
@@ -78,10 +78,10 @@
 		orders  map[int][]string // cached results of names, by slot
 
 		source       readRound     // of the read that freshAt stems from
-		rounds       uint64        // reads of this VM
+		rounds       uint64        // successful reads of this VM
 		reading      bool          // a read is under way
 		readBegan    time.Duration // when the read under way began
-		nextRead     time.Duration // no read before
+		nextRead     time.Duration // earliest time of the next read
 		size         int           // bytes of the last full read, 0 before the first
 		backoff      time.Duration
 		failing      bool
@@ -90,14 +90,14 @@
 		target       target
 		current      Notification  // notification that the pull under way follows; its age is relative to time 0
 		deferred     Notification  // notification to follow once no pull is under way; its age as in current
-		nextPull     time.Duration // no pull before
+		nextPull     time.Duration // earliest time of the next pull
 		pulling      bool
 		pullDeadline time.Duration // of the pull under way
 		start        start
 		serving      serving
 		registeredAt time.Duration // last check for VMs to register
 		queriedAt    time.Duration
-		queries      int       // rounds of queries sent, to rotate the peers
+		queries      int       // times that peers were queried, to rotate them
 		forwarded    readRound // latest round forwarded
 	}
 
@@ -123,7 +123,7 @@
 // Reader returns the VM whose read the freshness of the settings stems from.
 func (s *Sync) Reader() string { return s.source.reader }
 
-// Synced reports whether this VM has had complete settings since its start.
+// Synced reports whether this VM has obtained complete settings, of whatever age.
 func (s *Sync) Synced() bool { return s.state != chart.Start() }
 
 // Age returns how long ago the settings were last known to be complete.
@@ -134,7 +134,7 @@
 	return s.Synced() && s.Age(now) < s.share(takeoverShare)
 }
 
-// Failing reports whether the last call of this VM to the platform failed.
+// Failing reports whether the last read of the platform, or listing of VMs, failed.
 func (s *Sync) Failing() bool { return s.failing }
 
 // Settling reports whether the platform has recovered so recently that it may lack
@@ -143,7 +143,8 @@
 	return s.recoveredAt > 0 && now-s.recoveredAt < settleTime
 }
 
-// SetHeld sets what the registry holds now.
+// SetHeld sets what the registry holds now. If that is what the pull under way was to bring,
+// the settings are as fresh as its notification said.
 func (s *Sync) SetHeld(held Held) {
 	s.held = held
 	if s.target.reader != "" && held.Digest == s.target.digest {
@@ -197,7 +198,7 @@
 	s.start.lastReply = now
 }
 
-// markFresh records that the settings were complete at the time at, known from a read round.
+// markFresh records that the settings were complete at the time at, as round has shown.
 func (s *Sync) markFresh(at time.Duration, round readRound) {
 	if at <= s.freshAt && s.Synced() {
 		return
--- a/internal/member/sparsync/sync_test.go
+++ b/internal/member/sparsync/sync_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestReplacedVMsAreForgotten registers another VM each minute and checks that those which
-// are gone do not delay a takeover: a VM of highest precedence reads once settings are old.
+// TestReplacedVMsAreForgotten replaces the registered VM each minute and checks that removed
+// VMs do not delay a takeover: the only VM left reads as soon as its settings are old.
 func TestReplacedVMsAreForgotten(t *testing.T) {
 	s := sparsync.New(sparconfig.VM{Name: "vm-0"}, bound)
 	now := time.Second
@@ -223,5 +223,5 @@
 			return
 		}
 	}
-	t.Error("a single VM waits for VMs that are gone")
+	t.Error("the only VM left waits for removed VMs")
 }
