--- a/internal/member/sparleave/leave.go
+++ b/internal/member/sparleave/leave.go
@@ -30,11 +30,12 @@
 	unhealthyThreshold = 2
 	// probeInterval is the time between two probes of the fabric.
 	probeInterval = 500 * time.Millisecond
-	// minProbeSpan is the least time between the first and the last of these probes, since
-	// others than the fabric may probe in between.
+	// minProbeSpan is the least time between the first and the last of the refused probes,
+	// since clients other than the fabric may probe in between.
 	minProbeSpan = probeInterval * 4 / 5
-	// idleTime is how long no packet must have arrived after the last of these probes: the
-	// time of the response to reach the fabric and of a packet to return across regions.
+	// idleTime is the time without packets, after the last of these probes, after which the
+	// VM is out of rotation: the time for the response to reach the fabric and for a packet
+	// to return across regions.
 	idleTime = 150 * time.Millisecond
 	// refuseTimeout is the longest time to wait for the fabric to take this VM out of
 	// rotation: four probes, of which two must fail, less the time of two responses.
@@ -76,7 +77,7 @@
 		refusedAt     time.Duration // when it began to refuse probes
 		refusedProbes int
 		firstRefused  time.Duration // first refused probe
-		unhealthyAt   time.Duration // probe that reached unhealthyThreshold, or 0
+		unhealthyAt   time.Duration // last probe before the fabric takes this VM out of rotation, or 0
 		lastPacket    time.Duration
 		announcedAt   time.Duration // last announcement
 		peers         map[string]announcement
@@ -128,7 +129,7 @@
 }
 
 // mayRefuse reports whether this VM may begin to refuse probes: enough of its failure
-// domain stays in rotation, or it has waited long enough.
+// domain stays in rotation, it has waited long enough, or it is the only VM of the domain.
 func (l *Leave) mayRefuse(siblings int, now time.Duration) bool {
 	preceding := 0
 	for name, a := range l.peers {
@@ -177,7 +178,8 @@
 // PacketReceived is called when a packet from the fabric arrives.
 func (l *Leave) PacketReceived(now time.Duration) { l.lastPacket = now }
 
-// Done reports whether the process may end.
+// Done reports whether the process may end: the VM is out of rotation, or has refused probes
+// for refuseTimeout or half the grace period, whichever is shorter.
 func (l *Leave) Done(now time.Duration) bool {
 	if !l.refusing {
 		return false
--- a/internal/member/sparleave/leave_test.go
+++ b/internal/member/sparleave/leave_test.go
@@ -176,8 +176,8 @@
 	return lost
 }
 
-// TestStaggeredShutdown tells several VMs of a failure domain to stop at close times. The
-// fabric must never send to one that has stopped.
+// TestStaggeredShutdown tells several VMs of a failure domain to stop at nearly the same time.
+// The fabric must never send to one that has stopped.
 func TestStaggeredShutdown(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/member/sparmember/member.go
+++ b/internal/member/sparmember/member.go
@@ -34,8 +34,9 @@
 	MaxPause = 900 * time.Millisecond
 	// listenTime is how long a starting VM listens for owners before it may own slots alone.
 	listenTime = 5 * Beat
-	// disagreementTimeout is how long disagreement about the view, or an incomplete view,
-	// may delay a VM: its overrides, and its start as an owner.
+	// disagreementTimeout is how long disagreement about the view may delay a VM: its
+	// overrides, and its start as an owner. A view counts as incomplete for as long after a
+	// VM registered as live was unreachable.
 	disagreementTimeout = 5 * time.Second
 
 	forgetAfter = time.Minute
@@ -61,7 +62,7 @@
 		Members []Member
 		Leaving []Member // peers that are leaving and hand their slots over
 		Digest  uint64
-		Settled bool // every member reports this same view
+		Settled bool // all live peers report this view, or disagreementTimeout has passed
 	}
 
 	// Heartbeat is the state of a VM that it sends to each peer.
@@ -330,8 +331,9 @@
 	return t.ReceivesFrom(name, now) && t.receives(t.peers[name])
 }
 
-// ReadsPlatform reports whether this VM reads the platform for its failure domain: at most
-// one synced peer of the domain has a higher rendezvous weight.
+// ReadsPlatform reports whether this VM reads the platform for its failure domain. The two
+// VMs of the domain with the highest rendezvous weights do. Peers that are not synced don't
+// count.
 func (t *Tracker) ReadsPlatform(now time.Duration) bool {
 	const readers = 2
 	slot := int(sparrank.Hash(t.self.Domain) % 1024)
