--- a/internal/settings/sparconfig/vm.go
+++ b/internal/settings/sparconfig/vm.go
@@ -32,7 +32,7 @@
 		Fabric   string   `json:"fabric"`            // UDP address to which packets are returned; geneve
 		Platform string   `json:"platform"`          // HTTP address of the key-value service
 		Secret   string   `json:"secret"`            // 32 hexadecimal digits, the same on all VMs; geneve
-		Seeds    []string `json:"seeds,omitempty"`   // control addresses of VMs to query while the platform is down
+		Seeds    []string `json:"seeds,omitempty"`   // control addresses of VMs to query at the start or while the platform is down
 		Log      string   `json:"log,omitempty"`     // text or json
 		Flows    int      `json:"flows,omitempty"`   // limit of cached flows
 		Ready    string   `json:"ready,omitempty"`   // HTTP address of the fabric's readiness probe; cookie
--- a/internal/settings/sparregistry/registry.go
+++ b/internal/settings/sparregistry/registry.go
@@ -154,7 +154,7 @@
 // revision that it had.
 func (r Registry) WithPartial(entries []Entry) Registry { return r.merge(entries) }
 
-// replace returns r merged with entries, the complete set of live entries that changed
+// replace returns r merged with entries, which include every live entry that changed
 // between after and revision. Other keys of r that changed in between are deleted.
 func (r Registry) replace(entries []Entry, after, revision uint64) Registry {
 	next := r.merge(entries)
--- a/internal/settings/sparroster/roster.go
+++ b/internal/settings/sparroster/roster.go
@@ -28,9 +28,9 @@
 const (
 	// RoutingKey is the registry key of the Routing.
 	RoutingKey = "routing"
-	// UpstreamPrefix is the prefix of the registry keys of upstreams. Their id follows.
+	// UpstreamPrefix is the prefix of the registry keys of upstreams. The ID follows.
 	UpstreamPrefix = "upstream/"
-	// VMPrefix is the prefix of the registry keys of VMs. Their name follows.
+	// VMPrefix is the prefix of the registry keys of VMs. The name follows.
 	VMPrefix = "vm/"
 
 	// DefaultIdle is the idle timeout of flows if the routing sets none.
@@ -97,7 +97,7 @@
 		Revision  uint64
 		Digest    uint64
 		Routing   Routing
-		Upstreams []Upstream // by id
+		Upstreams []Upstream // by ID
 		VMs       []sparconfig.VM
 		Problems  []Problem
 
@@ -146,8 +146,8 @@
 	return next
 }
 
-// decodeEntry decodes an entry. A panic of the decoder becomes an error of this entry, since all
-// VMs have the same entries and would otherwise all crash.
+// decodeEntry decodes an entry. A panic of the decoder becomes an error of this entry: all VMs
+// have the same entries and would otherwise all crash.
 func (d Decoder) decodeEntry(e sparregistry.Entry) (fact Fact, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
