--- a/internal/peer/sparcontrol/delta.go
+++ b/internal/peer/sparcontrol/delta.go
@@ -21,7 +21,7 @@
 }
 
 // DecodeDelta decodes the output of EncodeDelta. It returns an error if the bytes are
-// damaged or decompress to more than maxShare.
+// damaged or decompress to more than maxDelta.
 func DecodeDelta(b []byte) (d sparregistry.Delta, err error) {
 	defer func() {
 		if err != nil {
--- a/internal/peer/sparcontrol/survey.go
+++ b/internal/peer/sparcontrol/survey.go
@@ -21,7 +21,7 @@
 }
 
 // QueryAll queries the facts of vms and adds them to own, those of this VM. A VM is listed
-// as silent if no response with the id and VM name of the query arrives in time.
+// as silent if no response with the ID and VM name of the query arrives in time.
 func QueryAll(ctx context.Context, own *FactsReply, vms []sparconfig.VM, client *http.Client) *SurveyReply {
 	ctx, cancel := context.WithTimeout(ctx, SurveyTimeout)
 	defer cancel()
