--- a/internal/operator/sparcli/cli.go
+++ b/internal/operator/sparcli/cli.go
@@ -25,7 +25,7 @@
 	Failed = 1
 	// Invalid is the exit code of invalid arguments or an invalid document.
 	Invalid = 2
-	// Conflict is the exit code of a write that lost against another writer.
+	// Conflict is the exit code of a write that another writer preceded.
 	Conflict = 3
 	// Unwritten is the exit code of a write that never reached the platform.
 	Unwritten = 4
@@ -125,5 +125,5 @@
 	return code
 }
 
-// errQuiet is the error of an exit that needs no line on stderr, because stdout says all.
+// errQuiet is the error of an exit that needs no line on stderr, because stdout has the result.
 const errQuiet = errors.ConstError("reported on stdout")
--- a/internal/operator/sparevents/events.go
+++ b/internal/operator/sparevents/events.go
@@ -1,4 +1,4 @@
-// Package sparevents reads the time lines of all VMs and merges them into one.
+// Package sparevents reads the timelines of all VMs and merges them into one.
 //
 //	t := sparevents.Read(ctx, controls, since, "")
 //	for _, e := range t.Events { ... }
@@ -21,7 +21,7 @@
 // Timeout limits each of the two rounds of queries of Read.
 const Timeout = 900 * time.Millisecond
 
-// Timeline is the merged time line of the VMs that responded.
+// Timeline is the merged timeline of the VMs that responded.
 type Timeline struct {
 	Events   []spartimeline.Event
 	Answered []string
--- a/internal/operator/sparexplain/explain.go
+++ b/internal/operator/sparexplain/explain.go
@@ -117,9 +117,9 @@
 	return text != "" && (text == flow || from == flow || to == flow)
 }
 
-// relatedTo reports whether the line is within margin of own, the lines about the flow,
-// and comes from a VM that logged one of them. It must be about the upstream of that line,
-// or about no upstream: the settings or the state of the VM.
+// relatedTo reports whether the line, which is about no flow itself, is within margin of own,
+// the lines about the flow, and comes from a VM that logged one of them. It must be about the
+// upstream of that line, or about no upstream: the settings or the state of the VM.
 func (l Line) relatedTo(own []Line) bool {
 	if l.Fields["flow"] != nil || l.At.Before(own[0].At.Add(-margin)) || l.At.After(own[len(own)-1].At.Add(margin)) {
 		return false
--- a/internal/operator/sparstatus/status.go
+++ b/internal/operator/sparstatus/status.go
@@ -91,7 +91,7 @@
 	return Report{}
 }
 
-// survey queries one VM. It returns nil if no response with the id of the query arrives.
+// survey queries one VM. It returns nil if no response with the ID of the query arrives.
 func survey(ctx context.Context, control string) *sparcontrol.SurveyReply {
 	id := fmt.Sprintf("%016x", rand.Uint64())
 	client := sparcontrol.NewControlProtobufClient("http://"+control, &http.Client{})
--- a/internal/operator/sparwrite/write.go
+++ b/internal/operator/sparwrite/write.go
@@ -1,7 +1,7 @@
 // Package sparwrite changes the service documents of one team in the platform.
 //
 // A write validates the document, claims its addresses, and then does a compare-and-swap on
-// the revision that was read. It adds an id to the document, so that a writer that loses
+// the revision that was read. It adds an ID to the document, so that a writer that loses
 // the response can read the document back and find out whether its write took effect, even
 // if other writes followed:
 //
@@ -98,11 +98,11 @@
 	if err := sparconfig.CheckName(w.Team); err != nil {
 		return nil, errors.WithType(err, ErrInvalid)
 	}
-	list, err := w.Store.List(ctx, sparconfig.ServiceKey(w.Team, ""), 0)
+	listing, err := w.Store.List(ctx, sparconfig.ServiceKey(w.Team, ""), 0)
 	if err != nil {
 		return nil, err
 	}
-	for _, e := range list.Entries {
+	for _, e := range listing.Entries {
 		h, err := parse(e)
 		if name, ok := sparconfig.ServiceName(e.Key); ok && (err != nil || !h.Document.Removed) {
 			names = append(names, strings.TrimPrefix(name, w.Team+"/"))
@@ -128,7 +128,7 @@
 }
 
 // Remove takes a service out of force by marking its document as removed. The document
-// stays in the platform to keep the ids of its writes.
+// stays in the platform to keep the IDs of its writes.
 func (w Writer) Remove(ctx context.Context, service string) (wrote uint64, err error) {
 	base, err := w.Get(ctx, service)
 	if err != nil {
@@ -202,8 +202,8 @@
 	return w.commit(ctx, &attempt{key: key, id: id, value: d.Text(), base: base})
 }
 
-// commit repeats a write until its outcome is known. All swaps expect the same revision
-// and carry the same id, so at most one takes effect.
+// commit repeats a write until its outcome is known or ctx ends. All swaps expect the same
+// revision and carry the same ID, so at most one takes effect.
 func (w Writer) commit(ctx context.Context, a *attempt) (wrote uint64, err error) {
 	for {
 		ok, err := w.Store.Swap(ctx, a.key, a.value, a.base.Revision)
@@ -232,7 +232,8 @@
 	return conflict(a.key, e.Revision)
 }
 
-// readBack finds out the outcome of a write from the document that the platform holds.
+// readBack finds out the outcome of a write from the document that the platform holds. known
+// is false if that could not be read or the write may still take effect.
 func (w Writer) readBack(ctx context.Context, a *attempt) (wrote uint64, known bool, err error) {
 	e, ok, err := w.Store.Get(ctx, a.key)
 	if err != nil {
@@ -258,7 +259,7 @@
 }
 
 // idEvicted reports whether so many writes followed that the document may have dropped
-// the id of a: no id of the base document is left.
+// the ID of a: no ID of the base document is left.
 func (a *attempt) idEvicted(now sparconfig.Document) bool {
 	if len(a.base.Document.Writes) == 0 {
 		return len(now.Writes) >= sparconfig.MaxWrites
--- a/internal/operator/sparwrite/write_test.go
+++ b/internal/operator/sparwrite/write_test.go
@@ -73,15 +73,15 @@
 	assertHeld(t, p.kalk, 0.2, revision)
 }
 
-// answerHook is a Store that loses the response to the first swap of a document. It calls
+// lossyStore is a Store that loses the response to the first swap of a document. It calls
 // after first, so that other writers can follow before the document is read back.
-type answerHook struct {
+type lossyStore struct {
 	sparkv.Store
 	once  sync.Once
 	after func()
 }
 
-func (h *answerHook) Swap(ctx context.Context, key string, value []byte, revision uint64) (ok bool, err error) {
+func (h *lossyStore) Swap(ctx context.Context, key string, value []byte, revision uint64) (ok bool, err error) {
 	ok, err = h.Store.Swap(ctx, key, value, revision)
 	if strings.HasPrefix(key, sparconfig.TeamPrefix) {
 		h.once.Do(func() {
@@ -99,7 +99,7 @@
 		cause   error
 	}{
 		{"three", 3, nil},
-		{"more than the document keeps ids of", sparconfig.MaxWrites + 1, sparwrite.ErrUnknown},
+		{"more than the document keeps IDs of", sparconfig.MaxWrites + 1, sparwrite.ErrUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				t.Fatal(err)
 			}
 			w := p.kalk
-			w.Store = &answerHook{Store: p.kalk.Store, after: func() {
+			w.Store = &lossyStore{Store: p.kalk.Store, after: func() {
 				for i := range c.writers {
 					if _, err := p.kalk.Set(ctx, "booking", document(1, 0.3+float64(i)/100), 0); err != nil {
 						t.Errorf("writer %d: %v", i, err)
@@ -181,7 +181,7 @@
 			t.Fatal(err)
 		}
 		w := p.kalk
-		w.Store = &answerHook{Store: p.kalk.Store, after: func() { p.store.SetFaults(sparstore.Trouble{Down: true}) }}
+		w.Store = &lossyStore{Store: p.kalk.Store, after: func() { p.store.SetFaults(sparstore.Trouble{Down: true}) }}
 		_, err := w.Set(ctx, "booking", document(1, 0.2), 0)
 		assertCause(t, err, sparwrite.ErrUnknown)
 	})
@@ -253,7 +253,7 @@
 		t.Fatal(err)
 	}
 	w := p.kalk
-	w.Store = &answerHook{Store: p.kalk.Store, after: func() {}}
+	w.Store = &lossyStore{Store: p.kalk.Store, after: func() {}}
 	now := time.Unix(1_800_000_000, 0)
 	if _, err := w.Drain(ctx, "booking", "10.0.1.2:8080", time.Minute, now); err != nil {
 		t.Fatal(err)
