--- a/internal/proof/sparsoak/checks.go
+++ b/internal/proof/sparsoak/checks.go
@@ -21,7 +21,7 @@
 
 		mu          sync.Mutex
 		report      Report
-		ran         map[string]uint64 // id of the upstream that ran each request
+		ran         map[string]uint64 // ID of the upstream that ran each request
 		upstreams   map[flowKey]flowUpstream
 		misrouted   map[flowKey]int      // packets of a flow that reached other upstreams
 		drainStarts map[uint64]time.Time // when the store accepted the drain of each upstream
--- a/internal/proof/sparsoak/fabric.go
+++ b/internal/proof/sparsoak/fabric.go
@@ -13,11 +13,11 @@
 
 const (
 	probeEvery  = 500 * time.Millisecond
-	probeMisses = 2
+	probeMisses = 2 // consecutive failed probes that take a VM out of rotation
 )
 
-// fabric forwards packets to the VMs that pass its readiness probes. A flow stays on one
-// VM as long as that VM stays in rotation.
+// fabric assigns each flow to a VM in rotation, which its readiness probes decide. A flow
+// stays on one VM as long as that VM stays in rotation.
 type fabric struct {
 	vms    []*vm
 	client *http.Client
@@ -54,8 +54,8 @@
 	}
 }
 
-// rotation returns the VMs that receive packets: those that pass their probes, or all VMs
-// if fewer than half pass.
+// rotation returns the VMs that receive packets: those whose last probeMisses probes did
+// not all fail, or all VMs if these are fewer than half.
 func (f *fabric) rotation() []*vm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proof/sparsoak/soak.go
+++ b/internal/proof/sparsoak/soak.go
@@ -169,24 +169,24 @@
 	}
 }
 
-// source is a random source for use by several goroutines.
-type source struct {
+// random is a random source for use by several goroutines.
+type random struct {
 	mu  sync.Mutex
-	src *rand.Rand
+	rng *rand.Rand
 }
 
-func newSource(seed, stream uint64) *source { return &source{src: rand.New(rand.NewPCG(seed, stream))} }
+func newRand(seed, stream uint64) *random { return &random{rng: rand.New(rand.NewPCG(seed, stream))} }
 
 // intN returns a number from 0 to n-1.
-func (s *source) intN(n int) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.src.IntN(n)
+func (r *random) intN(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.IntN(n)
 }
 
 // between returns a random duration from a to b, in whole milliseconds.
-func (s *source) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(s.intN(int((b-a)/time.Millisecond)+1))*time.Millisecond
+func (r *random) between(a, b time.Duration) time.Duration {
+	return a + time.Duration(r.intN(int((b-a)/time.Millisecond)+1))*time.Millisecond
 }
 
 // logDir creates and returns the directory for logs, if the plan has one.
--- a/internal/proof/sparsoak/soak_test.go
+++ b/internal/proof/sparsoak/soak_test.go
@@ -41,8 +41,8 @@
 				t.Fatal(err)
 			}
 			t.Log(report.Text())
-			for _, b := range report.Broken {
-				t.Errorf("%.3f %s: %s", b.At, b.Rule, b.Text)
+			for _, v := range report.Broken {
+				t.Errorf("%.3f %s: %s", v.At, v.Rule, v.Text)
 			}
 			if report.Served == 0 || report.Openings == 0 || report.Words == 0 {
 				t.Error("nothing was served, so nothing was checked")
--- a/internal/proof/sparsoak/status.go
+++ b/internal/proof/sparsoak/status.go
@@ -22,7 +22,7 @@
 // it with what the store held at the revision that the VM reports.
 func (t *testbed) checkStatuses(ctx context.Context) {
 	client := &http.Client{Timeout: statusTimeout}
-	rng := newSource(t.plan.Seed, 3)
+	rng := newRand(t.plan.Seed, 3)
 	for ; ctx.Err() == nil; sleep(ctx, statusEvery) {
 		v := t.vms[rng.intN(len(t.vms))]
 		facts, err := sparcontrol.Dial(v.control, client).Facts(ctx, &sparcontrol.FactsRequest{Id: v.name})
--- a/internal/proof/sparsoak/testbed.go
+++ b/internal/proof/sparsoak/testbed.go
@@ -40,7 +40,7 @@
 	plan        Plan
 	dir         string
 	began       time.Time
-	rng         *source
+	rng         *random
 	store       *sparfake.Store
 	storeServer *httptest.Server
 	vms         []*vm
@@ -69,7 +69,7 @@
 // newTestbed creates the fakes and starts the VMs.
 func newTestbed(p Plan) (t *testbed, err error) {
 	t = &testbed{
-		plan: p, began: time.Now(), rng: newSource(p.Seed, 1), store: sparfake.NewStore(),
+		plan: p, began: time.Now(), rng: newRand(p.Seed, 1), store: sparfake.NewStore(),
 		domains: map[netip.AddrPort]string{}, vmClients: map[*vm]*sparfake.Client{}, faultLog: newFaultLog(),
 		servers: map[uint64]*sparfake.Server{}, blocked: map[link]bool{},
 	}
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// close stops everything that the test bed started.
+// close stops everything that the testbed started.
 func (t *testbed) close() {
 	for _, v := range t.vms {
 		v.kill()
--- a/internal/proof/sparsoak/users.go
+++ b/internal/proof/sparsoak/users.go
@@ -20,7 +20,7 @@
 
 // user opens flows one after the other and sends requests on each.
 func (t *testbed) user(ctx context.Context, n int) {
-	rng := newSource(t.plan.Seed, uint64(100+n))
+	rng := newRand(t.plan.Seed, uint64(100+n))
 	client := t.clients[n%len(t.clients)]
 	for serial := 0; ctx.Err() == nil; serial++ {
 		route := []sparflow.Endpoint{repeatableRoute, repeatableRoute, onceRoute, receiptsRoute}[rng.intN(4)]
@@ -37,7 +37,7 @@
 
 // sendRequests sends requests on one flow. The caller has counted the first one when it
 // opened the flow.
-func (t *testbed) sendRequests(ctx context.Context, rng *source, f *sparfake.Flow, name string) {
+func (t *testbed) sendRequests(ctx context.Context, rng *random, f *sparfake.Flow, name string) {
 	_, route := f.Ends()
 	for k := range 1 + rng.intN(maxRequests) {
 		if k > 0 {
@@ -74,7 +74,7 @@
 	})
 }
 
-// operator holds the routes that the test bed writes to the store.
+// operator holds the routes that the testbed writes to the store.
 type operator struct {
 	mu      sync.Mutex
 	version uint64
@@ -120,7 +120,7 @@
 // checkRoutes opens flows to changed routes, each through a random VM, once the change
 // must be in force.
 func (t *testbed) checkRoutes(ctx context.Context) {
-	rng := newSource(t.plan.Seed, 2)
+	rng := newRand(t.plan.Seed, 2)
 	for ctx.Err() == nil {
 		sleep(ctx, routeCheckEvery)
 		t.operator.mu.Lock()
--- a/internal/stand/sparhost/client.go
+++ b/internal/stand/sparhost/client.go
@@ -124,7 +124,7 @@
 	return err
 }
 
-// exchange retransmits a segment until a packet arrives that accept takes.
+// exchange retransmits a segment until a packet arrives for which accept returns true.
 func (c *Conn) exchange(ctx context.Context, flags uint8, data []byte, accept func(v sparpacket.View) bool) (
 	v sparpacket.View, err error,
 ) {
--- a/internal/stand/sparhost/host.go
+++ b/internal/stand/sparhost/host.go
@@ -47,7 +47,7 @@
 }
 
 // run passes packets to receive until the link is closed.
-func (l *link) run(take func(v sparpacket.View)) {
+func (l *link) run(receive func(v sparpacket.View)) {
 	buffer := make([]byte, sparpacket.MaxBytes)
 	var parser sparpacket.Parser
 	for {
@@ -59,7 +59,7 @@
 			continue
 		}
 		if v, err := parser.Parse(buffer[:size]); err == nil {
-			take(v)
+			receive(v)
 		}
 	}
 }
--- a/internal/stand/sparhost/server.go
+++ b/internal/stand/sparhost/server.go
@@ -94,7 +94,7 @@
 	return stats
 }
 
-// Runs returns how many times the request with id has run.
+// Runs returns how many times the request with an ID has run.
 func (s *Server) Runs(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
